--- a/sidecar/src/main/java/gradehub/benchlink/Batch.java
+++ b/sidecar/src/main/java/gradehub/benchlink/BatchReader.java
@@ -8,7 +8,7 @@
 import java.nio.charset.StandardCharsets;
 
 /** Reads one batch after another from a stream and hands out its fields in order. */
-final class Batch {
+final class BatchReader {
 
     /** A frame beyond this is taken for garbage rather than read into memory. */
     static final int MAX_BYTES = 1 << 28;
@@ -20,7 +20,7 @@
     private final ByteBuffer header = little(new byte[HEADER_BYTES]);
     private ByteBuffer body = little(new byte[1 << 16]);
 
-    Batch(InputStream in) {
+    BatchReader(InputStream in) {
         this.in = in;
     }
 
--- a/sidecar/src/main/java/gradehub/benchlink/BenchLink.java
+++ b/sidecar/src/main/java/gradehub/benchlink/BenchLink.java
@@ -37,9 +37,9 @@
     private static final Status[] STATUSES = Status.values();
 
     private final Factory factory;
-    private final Batch batch;
+    private final BatchReader batch;
     private final OutputStream out;
-    private final Reply reply = new Reply();
+    private final ReplyWriter reply = new ReplyWriter();
     private final Map<Integer, Balancer> balancers = new HashMap<>();
     /** How many classes each instance was told of. */
     private final Map<Integer, Integer> classes = new HashMap<>();
@@ -49,7 +49,7 @@
     /** Creates an adapter that reads batches from {@code in} and writes replies to {@code out}. */
     public BenchLink(Factory factory, InputStream in, OutputStream out) {
         this.factory = factory;
-        this.batch = new Batch(in);
+        this.batch = new BatchReader(in);
         this.out = out;
         for (int i = 0; i < BANKS; i++) {
             banks.add(List.of());
--- a/sidecar/src/main/java/gradehub/benchlink/Reply.java
+++ b/sidecar/src/main/java/gradehub/benchlink/ReplyWriter.java
@@ -9,7 +9,7 @@
 import java.util.Arrays;
 
 /** Collects the actions of all instances for one batch and writes them as one frame. */
-final class Reply {
+final class ReplyWriter {
 
     private static final int LENGTH_BYTES = 4;
     private static final int LONGEST_TEXT = 0xffff;
--- a/sidecar/src/test/java/gradehub/AdmissionControlTest.java
+++ b/sidecar/src/test/java/gradehub/AdmissionControlTest.java
@@ -22,7 +22,8 @@
     private final AdmissionControl admission = new AdmissionControl(new Goal(0.5, 0.2, 0), List.of(cheap, dear));
 
     private static ClassStats stats(double worth) {
-        ClassStats stats = new ClassStats(Samples.requestClass(Effect.SAFE, Group.ALL, worth), Samples.TICK_MS);
+        ClassStats stats =
+                new ClassStats(TestSettings.requestClass(Effect.SAFE, Group.ALL, worth), TestSettings.TICK_MS);
         stats.typicalMs = TYPICAL_MS;
         stats.offered = 100;
         stats.served = 100;
@@ -67,7 +68,7 @@
         assertFalse(admission.throttles(0.34));
         assertTrue(admission.throttles(0.36));
         for (int tick = 0; tick < 100; tick++) {
-            admission.tick(new IdleActions());
+            admission.tick(new NoOpActions());
         }
         assertFalse(admission.throttles(0.999));
     }
@@ -101,7 +102,7 @@
     @Test
     void theBeginningAndTheEndOfRefusingAreTold() {
         List<String> logs = new ArrayList<>();
-        IdleActions actions = new IdleActions() {
+        NoOpActions actions = new NoOpActions() {
             @Override
             public void log(String line) {
                 logs.add(line);
--- a/sidecar/src/test/java/gradehub/ClassStatsTest.java
+++ b/sidecar/src/test/java/gradehub/ClassStatsTest.java
@@ -10,11 +10,12 @@
 
 class ClassStatsTest {
 
-    private static final double DEADLINE_MS = 4000; // by Samples, as is an aim of 1000
+    private static final double DEADLINE_MS = 4000; // by TestSettings, as is an aim of 1000
     private static final double FORGET = 0.005;
     private static final double FORGET_STARVED = 0.05;
 
-    private final ClassStats stats = new ClassStats(Samples.requestClass(Effect.SAFE, Group.ALL, 1), Samples.TICK_MS);
+    private final ClassStats stats =
+            new ClassStats(TestSettings.requestClass(Effect.SAFE, Group.ALL, 1), TestSettings.TICK_MS);
 
     private double elapsedMs(double nowMs, double timeoutMs, boolean repeat, boolean repeatsMarked) {
         return stats.elapsedMs(nowMs, new Balancer.Request(1, 0, 0, timeoutMs, repeat, 0), repeatsMarked);
--- a/sidecar/src/test/java/gradehub/ColdFleetTest.java
+++ b/sidecar/src/test/java/gradehub/ColdFleetTest.java
@@ -55,12 +55,12 @@
         Random random = new Random(seed);
         Contract contract = new Contract(0.12, 24_000, factor, 2000, 10_000);
         Settings settings = settings(contract);
-        List<Sidecar> fleet = new ArrayList<>();
+        List<FakeSidecar> fleet = new ArrayList<>();
         double[] weights = new double[SIDECARS];
         double sum = 0;
         for (int i = 0; i < SIDECARS; i++) {
-            fleet.add(new Sidecar(settings, random.nextLong()));
-            fleet.get(i).ready(servers);
+            fleet.add(new FakeSidecar(settings, random.nextLong()));
+            fleet.get(i).listReady(servers);
             weights[i] = -Math.log(1 - random.nextDouble()); // some ask several times the mean
             sum += weights[i];
         }
@@ -69,9 +69,9 @@
         for (double passed = 0; passed < QUIET_MS + COLD_MS; passed += STEP_MS) {
             boolean falls = passed > QUIET_MS + COLD_MS / 2;
             for (int i = 0; i < SIDECARS; i++) {
-                Sidecar sidecar = fleet.get(i);
+                FakeSidecar sidecar = fleet.get(i);
                 if (passed == QUIET_MS) {
-                    sidecar.list(ListKind.DELTA, Sidecar.upstream(1, Status.READY, sidecar.now));
+                    sidecar.updateList(ListKind.DELTA, FakeSidecar.upstream(1, Status.READY, sidecar.now));
                 }
                 if (random.nextDouble() < perServerS * servers * weights[i] / sum * STEP_MS / 1000) {
                     double work = MEAN_MS * Math.exp(random.nextGaussian() - 0.5); // some are several times the mean
@@ -81,12 +81,12 @@
                 }
                 int before = sidecar.sent.size();
                 answer(sidecar, falls ? silent : 0);
-                sidecar.pass(STEP_MS);
+                sidecar.advance(STEP_MS);
                 note(sidecar, before, MEAN_MS, passed, arrivals);
             }
         }
         assertFalse(arrivals.isEmpty(), "it is warmed up");
-        fleet.forEach(sidecar -> assertEquals(List.of(), sidecar.breaches));
+        fleet.forEach(sidecar -> assertEquals(List.of(), sidecar.violations));
         double capacityPerMs = perServerS / used / 1000;
         assertWithinBudget(arrivals, contract, capacityPerMs);
     }
@@ -129,28 +129,28 @@
     /** It is all that is left: what goes to it is what its budget allows, not what is asked for. */
     @Test
     void requestsWithoutAHintCountAsMuchAsTheOthers() {
-        Sidecar sidecar = new Sidecar(Samples.safe(), 1);
-        sidecar.ready(2);
+        FakeSidecar sidecar = new FakeSidecar(TestSettings.safe(), 1);
+        sidecar.listReady(2);
         int sentBefore = 0;
         for (int i = 0; i < 100; i++) {
             if (i == 50) {
-                sidecar.list(ListKind.FULL, Sidecar.upstream(1, Status.READY, sidecar.now));
+                sidecar.updateList(ListKind.FULL, FakeSidecar.upstream(1, Status.READY, sidecar.now));
                 sentBefore = sidecar.sent.size();
             }
             sidecar.request(0, 0, 4000, false, i < 50 ? MEAN_MS : 0);
             for (double passed = 0; passed < 100; passed += STEP_MS) {
-                sidecar.pass(STEP_MS);
+                sidecar.advance(STEP_MS);
                 answer(sidecar, 0);
             }
         }
         int sent = sidecar.sent.size() - sentBefore;
         assertTrue(sent > 0 && sent < 25, sent + " of 50 to a server that is at a quarter to five eighths");
-        assertEquals(List.of(), sidecar.breaches);
+        assertEquals(List.of(), sidecar.violations);
     }
 
     /** Those sent since to the one that started, after its start. */
-    private static void note(Sidecar sidecar, int before, double work, double passed, List<Arrival> arrivals) {
-        for (Sidecar.Sent sent : sidecar.sent.subList(before, sidecar.sent.size())) {
+    private static void note(FakeSidecar sidecar, int before, double work, double passed, List<Arrival> arrivals) {
+        for (FakeSidecar.SentAttempt sent : sidecar.sent.subList(before, sidecar.sent.size())) {
             if (sent.upstream == 1 && passed >= QUIET_MS) {
                 arrivals.add(new Arrival(passed - QUIET_MS, work / MEAN_MS));
             }
@@ -158,8 +158,8 @@
     }
 
     /** So many of those behind the one that started say nothing, and that one is slower than the others. */
-    private static void answer(Sidecar sidecar, int silent) {
-        for (Sidecar.Sent attempt : sidecar.out()) {
+    private static void answer(FakeSidecar sidecar, int silent) {
+        for (FakeSidecar.SentAttempt attempt : sidecar.pendingAttempts()) {
             if (attempt.upstream > 1 + silent && sidecar.now - attempt.atMs >= MEAN_MS
                     || attempt.upstream == 1 && sidecar.now - attempt.atMs >= 2 * MEAN_MS) {
                 sidecar.end(attempt, Outcome.OK);
--- a/sidecar/src/test/java/gradehub/Sidecar.java
+++ b/sidecar/src/test/java/gradehub/FakeSidecar.java
@@ -21,14 +21,14 @@
  * Stands in for a sidecar: passes events to a balancer, carries its timers and time-outs out, and checks every action
  * against the rules. What upstreams answer is for the test to say.
  */
-final class Sidecar implements Balancer.Actions {
+final class FakeSidecar implements Balancer.Actions {
 
     /** Makes the balancer under test. */
     interface Factory {
         Balancer create(Settings settings, long seed, Balancer.Actions actions);
     }
 
-    static final class Sent {
+    static final class SentAttempt {
         final int request;
         final int number;
         final int upstream;
@@ -36,7 +36,7 @@
         final double timeoutMs;
         Outcome outcome;
 
-        Sent(int request, int number, int upstream, double atMs, double timeoutMs) {
+        SentAttempt(int request, int number, int upstream, double atMs, double timeoutMs) {
             this.request = request;
             this.number = number;
             this.upstream = upstream;
@@ -45,23 +45,23 @@
         }
     }
 
-    private static final class Open {
+    private static final class OpenRequest {
         final RequestClass spec;
         final double deadlineMs;
-        final List<Sent> attempts = new ArrayList<>();
+        final List<SentAttempt> attempts = new ArrayList<>();
         boolean ended;
 
-        Open(RequestClass spec, double deadlineMs) {
+        OpenRequest(RequestClass spec, double deadlineMs) {
             this.spec = spec;
             this.deadlineMs = deadlineMs;
         }
 
-        boolean out() {
+        boolean hasPendingAttempt() {
             return attempts.stream().anyMatch(sent -> sent.outcome == null);
         }
 
         boolean mayHaveRun() {
-            return attempts.stream().anyMatch(Sidecar::mayHaveRun);
+            return attempts.stream().anyMatch(FakeSidecar::mayHaveRun);
         }
     }
 
@@ -69,10 +69,10 @@
 
     final Settings settings;
     final Balancer balancer;
-    final List<String> breaches = new ArrayList<>();
+    final List<String> violations = new ArrayList<>();
     final List<String> actions = new ArrayList<>();
     final List<String> logs = new ArrayList<>();
-    final List<Sent> sent = new ArrayList<>();
+    final List<SentAttempt> sent = new ArrayList<>();
     final List<Integer> probed = new ArrayList<>();
     double now = 1000;
     int subscriptions;
@@ -80,16 +80,16 @@
     int failed;
     int served;
     private int nextRequest = 1;
-    private final Map<Integer, Open> requests = new TreeMap<>();
+    private final Map<Integer, OpenRequest> requests = new TreeMap<>();
     private final Map<Integer, Upstream> listed = new HashMap<>();
-    private final Map<Integer, Double> toldOfEnd = new HashMap<>();
+    private final Map<Integer, Double> unavailableSinceMs = new HashMap<>();
     private final PriorityQueue<Timer> timers = new PriorityQueue<>((a, b) -> Double.compare(a.atMs, b.atMs));
 
-    Sidecar(Settings settings, long seed) {
+    FakeSidecar(Settings settings, long seed) {
         this(settings, seed, LoadShiftingBalancer::new);
     }
 
-    Sidecar(Settings settings, long seed, Factory factory) {
+    FakeSidecar(Settings settings, long seed, Factory factory) {
         this.settings = settings;
         this.balancer = factory.create(settings, seed, this);
         balancer.start(now);
@@ -97,28 +97,28 @@
 
     // Events.
 
-    void list(ListKind kind, Upstream... entries) {
+    void updateList(ListKind kind, Upstream... entries) {
         if (kind == ListKind.FULL || kind == ListKind.CACHED) {
-            listed.keySet().forEach(id -> toldOfEnd.putIfAbsent(id, now));
+            listed.keySet().forEach(id -> unavailableSinceMs.putIfAbsent(id, now));
         }
         for (Upstream entry : entries) {
             listed.put(entry.id(), entry);
             if (entry.status() == Status.READY) {
-                toldOfEnd.remove(entry.id());
+                unavailableSinceMs.remove(entry.id());
             } else {
-                toldOfEnd.putIfAbsent(entry.id(), now);
+                unavailableSinceMs.putIfAbsent(entry.id(), now);
             }
         }
         balancer.upstreams(now, kind, List.of(entries));
     }
 
     /** A list of this many ready upstreams with ids from 1. */
-    void ready(int count) {
+    void listReady(int count) {
         Upstream[] entries = new Upstream[count];
         for (int i = 0; i < count; i++) {
             entries[i] = upstream(i + 1, Status.READY, 0);
         }
-        list(ListKind.FULL, entries);
+        updateList(ListKind.FULL, entries);
     }
 
     static Upstream upstream(int id, Status status, double startedMs) {
@@ -135,13 +135,13 @@
 
     int request(int requestClass, int tenant, double timeoutMs, boolean repeat, double costMs) {
         int id = nextRequest++;
-        requests.put(id, new Open(settings.classes().get(requestClass), now + timeoutMs));
+        requests.put(id, new OpenRequest(settings.classes().get(requestClass), now + timeoutMs));
         balancer.request(now, new Request(id, requestClass, tenant, timeoutMs, repeat, costMs));
         return id;
     }
 
-    void end(Sent attempt, Outcome outcome) {
-        Open open = requests.get(attempt.request);
+    void end(SentAttempt attempt, Outcome outcome) {
+        OpenRequest open = requests.get(attempt.request);
         attempt.outcome = outcome;
         boolean done = open.ended;
         if (outcome == Outcome.OK && !open.ended) {
@@ -161,17 +161,17 @@
                         new double[0]));
     }
 
-    void clientLeaves(int request) {
+    void disconnectClient(int request) {
         requests.get(request).ended = true;
         balancer.clientLeft(now, request);
     }
 
     /** Lets time pass, with the timers and time-outs that fall due. */
-    void pass(double ms) {
+    void advance(double ms) {
         double until = now + ms;
         while (true) {
-            Sent late = null;
-            for (Sent attempt : out()) {
+            SentAttempt late = null;
+            for (SentAttempt attempt : pendingAttempts()) {
                 if (late == null || attempt.atMs + attempt.timeoutMs < late.atMs + late.timeoutMs) {
                     late = attempt;
                 }
@@ -187,23 +187,23 @@
             } else {
                 balancer.timer(now, timers.poll().token);
             }
-            overdue();
+            checkDeadlines();
         }
         now = until;
-        overdue();
+        checkDeadlines();
     }
 
     // What can be asked of it.
 
-    List<Sent> out() {
+    List<SentAttempt> pendingAttempts() {
         return sent.stream().filter(attempt -> attempt.outcome == null).toList();
     }
 
-    Sent last() {
+    SentAttempt lastAttempt() {
         return sent.get(sent.size() - 1);
     }
 
-    List<Sent> attemptsOf(int request) {
+    List<SentAttempt> attemptsOf(int request) {
         return requests.get(request).attempts;
     }
 
@@ -215,7 +215,7 @@
         return requests.get(request).ended;
     }
 
-    long open() {
+    long openRequests() {
         return requests.values().stream().filter(open -> !open.ended).count();
     }
 
@@ -224,39 +224,39 @@
     @Override
     public void send(int request, int upstream, double timeoutMs) {
         actions.add("send " + request + " to " + upstream + " for " + timeoutMs);
-        Open open = live(request, "send");
+        OpenRequest open = openRequest(request, "send");
         if (open == null) {
             return;
         }
         RequestClass spec = open.spec;
         if (!listed.containsKey(upstream)) {
-            breaches.add("sent to upstream " + upstream + " that was never listed");
+            violations.add("sent to upstream " + upstream + " that was never listed");
         }
-        if (toldOfEnd.containsKey(upstream)) {
-            breaches.add("drain: sent to upstream " + upstream + " that drains or is gone");
+        if (unavailableSinceMs.containsKey(upstream)) {
+            violations.add("drain: sent to upstream " + upstream + " that drains or is gone");
         }
         if (open.attempts.size() >= settings.limits().maxAttempts()) {
-            breaches.add("attempts: more than allowed");
+            violations.add("attempts: more than allowed");
         }
-        if (open.out() && !settings.limits().secondCopies()) {
-            breaches.add("copies: two attempts out");
+        if (open.hasPendingAttempt() && !settings.limits().secondCopies()) {
+            violations.add("copies: two attempts out");
         }
-        for (Sent before : open.attempts) {
+        for (SentAttempt before : open.attempts) {
             if (!mayHaveRun(before)) {
                 continue;
             }
             if (spec.effect() == Effect.UNSAFE) {
-                breaches.add("repeat: unsafe request sent again");
+                violations.add("repeat: unsafe request sent again");
             }
             if (spec.effect() == Effect.KEYED
                     && (now - before.atMs >= spec.windowMs()
                             || !sameGroup(spec.group(), listed.get(before.upstream), listed.get(upstream)))) {
-                breaches.add("repeat: keyed request sent outside its group or window");
+                violations.add("repeat: keyed request sent outside its group or window");
             }
         }
-        Sent attempt = new Sent(request, open.attempts.size(), upstream, now, timeoutMs);
+        SentAttempt attempt = new SentAttempt(request, open.attempts.size(), upstream, now, timeoutMs);
         if (timeoutMs <= 0 || now + timeoutMs > open.deadlineMs) {
-            breaches.add("lost: attempt may outlast the client");
+            violations.add("lost: attempt may outlast the client");
         }
         open.attempts.add(attempt);
         sent.add(attempt);
@@ -265,7 +265,7 @@
     @Override
     public void refuse(int request, double retryAfterMs) {
         actions.add("refuse " + request);
-        Open open = live(request, "refuse");
+        OpenRequest open = openRequest(request, "refuse");
         if (open == null) {
             return;
         }
@@ -273,7 +273,7 @@
                 || !open.mayHaveRun()
                 || open.spec.effect() == Effect.KEYED && open.spec.group() == Group.ALL;
         if (!harmless) {
-            breaches.add("repeat: refused what may have run");
+            violations.add("repeat: refused what may have run");
         }
         open.ended = true;
         refused++;
@@ -282,7 +282,7 @@
     @Override
     public void fail(int request) {
         actions.add("fail " + request);
-        Open open = live(request, "fail");
+        OpenRequest open = openRequest(request, "fail");
         if (open != null) {
             open.ended = true;
             failed++;
@@ -293,7 +293,7 @@
     public void cancel(int request, int attempt) {
         actions.add("cancel " + request + "/" + attempt);
         if (!settings.limits().cancel()) {
-            breaches.add("cancel: not allowed");
+            violations.add("cancel: not allowed");
         }
     }
 
@@ -318,7 +318,7 @@
     @Override
     public void probe(int upstream) {
         if (!settings.limits().probes()) {
-            breaches.add("probe: not allowed");
+            violations.add("probe: not allowed");
         }
         probed.add(upstream);
     }
@@ -333,25 +333,25 @@
         actions.add("close " + upstream);
     }
 
-    private Open live(int request, String what) {
-        Open open = requests.get(request);
+    private OpenRequest openRequest(int request, String what) {
+        OpenRequest open = requests.get(request);
         if (open == null || open.ended) {
-            breaches.add("lost: " + what + " for request " + request + " that is over or unknown");
+            violations.add("lost: " + what + " for request " + request + " that is over or unknown");
             return null;
         }
         return open;
     }
 
-    private void overdue() {
+    private void checkDeadlines() {
         requests.forEach((id, open) -> {
             if (!open.ended && now > open.deadlineMs) {
-                breaches.add("lost: request " + id + " not answered in time");
+                violations.add("lost: request " + id + " not answered in time");
                 open.ended = true;
             }
         });
     }
 
-    private static boolean mayHaveRun(Sent attempt) {
+    private static boolean mayHaveRun(SentAttempt attempt) {
         return attempt.outcome == null || !attempt.outcome.provesNotRun();
     }
 
--- a/sidecar/src/test/java/gradehub/LoadSharesTest.java
+++ b/sidecar/src/test/java/gradehub/LoadSharesTest.java
@@ -15,7 +15,7 @@
     private static final double EXACT = 1e-6;
 
     private static UpstreamState member(double share, double latency, double samples) {
-        UpstreamState member = new UpstreamState(Sidecar.upstream(1, Status.READY, 0));
+        UpstreamState member = new UpstreamState(FakeSidecar.upstream(1, Status.READY, 0));
         member.share = share;
         member.latencySum = latency * samples;
         member.samples = samples;
@@ -74,7 +74,7 @@
 
     @Test
     void whatHangsCountsByItsAge() {
-        ClassStats stats = new ClassStats(Samples.requestClass(Effect.SAFE, Group.ALL, 1), Samples.TICK_MS);
+        ClassStats stats = new ClassStats(TestSettings.requestClass(Effect.SAFE, Group.ALL, 1), TestSettings.TICK_MS);
         stats.typicalMs = 100;
         UpstreamState hung = member(0.5, 0, 0);
         UpstreamState sound = member(0.5, 1, MANY);
--- a/sidecar/src/test/java/gradehub/LoadShedderTest.java
+++ b/sidecar/src/test/java/gradehub/LoadShedderTest.java
@@ -15,9 +15,10 @@
     private static final double CONTROL_MS = 60;
 
     private final LoadShedder shedder = new LoadShedder();
-    private final ClassStats stats = new ClassStats(Samples.requestClass(Effect.SAFE, Group.ALL, 1), Samples.TICK_MS);
+    private final ClassStats stats =
+            new ClassStats(TestSettings.requestClass(Effect.SAFE, Group.ALL, 1), TestSettings.TICK_MS);
     private final List<String> logs = new ArrayList<>();
-    private final IdleActions actions = new IdleActions() {
+    private final NoOpActions actions = new NoOpActions() {
         @Override
         public void log(String line) {
             logs.add(line);
--- a/sidecar/src/test/java/gradehub/SparseFleet.java
+++ b/sidecar/src/test/java/gradehub/LowTraffic.java
@@ -9,18 +9,18 @@
 import gradehub.Balancer.Settings;
 import java.util.List;
 
-/** Samples of sidecars that are many, so that each sees little. */
-final class SparseFleet {
+/** TestSettings of sidecars that are many, so that each sees little. */
+final class LowTraffic {
 
     static final int SIDECARS = 300;
     static final Limits LIMITS = new Limits(4, true, true, false, 0);
-    static final RequestClass SAFE = Samples.requestClass(Effect.SAFE, Group.ALL, 1);
+    static final RequestClass SAFE = TestSettings.requestClass(Effect.SAFE, Group.ALL, 1);
 
-    private SparseFleet() {}
+    private LowTraffic() {}
 
     static Settings settings(
             int sidecars, boolean marked, Limits limits, boolean reportsOnProbe, Goal goal, RequestClass... classes) {
-        Settings base = Samples.settings(sidecars, limits, false, List.of(), classes);
+        Settings base = TestSettings.settings(sidecars, limits, false, List.of(), classes);
         return new Settings(
                 base.classes(),
                 List.of(),
@@ -36,13 +36,13 @@
                 goal);
     }
 
-    static Sidecar sidecar(boolean marked, RequestClass... classes) {
-        return new Sidecar(settings(SIDECARS, marked, LIMITS, false, new Goal(1, 0, 0), classes), 7);
+    static FakeSidecar sidecar(boolean marked, RequestClass... classes) {
+        return new FakeSidecar(settings(SIDECARS, marked, LIMITS, false, new Goal(1, 0, 0), classes), 7);
     }
 
-    static void serve(Sidecar sidecar, double ms) {
-        Sidecar.Sent attempt = sidecar.last();
-        sidecar.pass(ms);
+    static void serve(FakeSidecar sidecar, double ms) {
+        FakeSidecar.SentAttempt attempt = sidecar.lastAttempt();
+        sidecar.advance(ms);
         if (attempt.outcome == null) {
             sidecar.end(attempt, Outcome.OK);
         }
--- a/sidecar/src/test/java/gradehub/SparseProbeTest.java
+++ b/sidecar/src/test/java/gradehub/LowTrafficProbeTest.java
@@ -1,9 +1,9 @@
 package gradehub;
 
-import static gradehub.SparseFleet.SAFE;
-import static gradehub.SparseFleet.SIDECARS;
-import static gradehub.SparseFleet.serve;
-import static gradehub.SparseFleet.settings;
+import static gradehub.LowTraffic.SAFE;
+import static gradehub.LowTraffic.SIDECARS;
+import static gradehub.LowTraffic.serve;
+import static gradehub.LowTraffic.settings;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -14,17 +14,17 @@
 import org.junit.jupiter.api.Test;
 
 /** Probes before requests, where sidecars are many and each sees little. */
-class SparseProbeTest {
+class LowTrafficProbeTest {
 
-    private static Sidecar asking() {
-        Sidecar sidecar = new Sidecar(
+    private static FakeSidecar asking() {
+        FakeSidecar sidecar = new FakeSidecar(
                 settings(SIDECARS, true, new Limits(4, true, true, true, 0), true, new Goal(1, 0, 0), SAFE), 7);
-        sidecar.ready(2);
+        sidecar.listReady(2);
         return sidecar;
     }
 
     /** Answers the probes that are out; upstream 1 has many requests in hand. */
-    private static void answerProbes(Sidecar sidecar, Outcome first) {
+    private static void answerProbes(FakeSidecar sidecar, Outcome first) {
         while (!sidecar.probed.isEmpty()) {
             int upstream = sidecar.probed.remove(0);
             sidecar.balancer.probeEnded(
@@ -36,24 +36,24 @@
     @Test
     void theServerDrawnIsAskedAndLeftOutWhileItIsCrowded() {
         // Incident i1d6ed3: sidecars that saw no queue sent into servers that held several requests each.
-        Sidecar sidecar = asking();
+        FakeSidecar sidecar = asking();
         for (int i = 0; i < 40; i++) {
             int request = sidecar.request(0);
             answerProbes(sidecar, Outcome.OK);
             assertEquals(2, sidecar.attemptsOf(request).get(0).upstream);
             serve(sidecar, 50);
         }
-        assertEquals(List.of(), sidecar.breaches);
+        assertEquals(List.of(), sidecar.violations);
     }
 
     @Test
     void aServerOutOfReachIsLeftOutAndAskedForUntilItAnswers() {
-        Sidecar sidecar = asking();
+        FakeSidecar sidecar = asking();
         boolean back = false;
         for (int i = 0; i < 60; i++) {
             sidecar.request(0);
             answerProbes(sidecar, Outcome.CONNECT_FAILED);
-            assertEquals(2, sidecar.last().upstream);
+            assertEquals(2, sidecar.lastAttempt().upstream);
             serve(sidecar, 100);
         }
         assertTrue(sidecar.logs.get(0).contains("a probe found it out of reach"));
@@ -62,7 +62,7 @@
             while (!sidecar.probed.isEmpty()) {
                 sidecar.balancer.probeEnded(sidecar.now, sidecar.probed.remove(0), Outcome.OK, 1, new double[] {0});
             }
-            back |= sidecar.last().upstream == 1;
+            back |= sidecar.lastAttempt().upstream == 1;
             serve(sidecar, 100);
         }
         assertTrue(back);
@@ -70,10 +70,10 @@
 
     @Test
     void aProbeThatIsNeverAnsweredLosesNoRequest() {
-        Sidecar sidecar = asking();
+        FakeSidecar sidecar = asking();
         int request = sidecar.request(0);
-        sidecar.pass(1100);
+        sidecar.advance(1100);
         assertTrue(sidecar.ended(request) || !sidecar.attemptsOf(request).isEmpty());
-        assertEquals(List.of(), sidecar.breaches);
+        assertEquals(List.of(), sidecar.violations);
     }
 }
--- a/sidecar/src/test/java/gradehub/SparseTest.java
+++ b/sidecar/src/test/java/gradehub/LowTrafficTest.java
@@ -1,11 +1,11 @@
 package gradehub;
 
-import static gradehub.SparseFleet.LIMITS;
-import static gradehub.SparseFleet.SAFE;
-import static gradehub.SparseFleet.SIDECARS;
-import static gradehub.SparseFleet.serve;
-import static gradehub.SparseFleet.settings;
-import static gradehub.SparseFleet.sidecar;
+import static gradehub.LowTraffic.LIMITS;
+import static gradehub.LowTraffic.SAFE;
+import static gradehub.LowTraffic.SIDECARS;
+import static gradehub.LowTraffic.serve;
+import static gradehub.LowTraffic.settings;
+import static gradehub.LowTraffic.sidecar;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -23,40 +23,40 @@
 import org.junit.jupiter.api.Test;
 
 /** Failures found where sidecars are many and each sees little: every test fails without the answer to it. */
-class SparseTest {
+class LowTrafficTest {
 
     @Test
     void aLaterTryWhoseAimHasPassedIsRefusedAtOnce() {
         // Incident i8eec8b: late tries were sent on, could earn nothing, and fed the jam.
-        Sidecar sidecar = sidecar(false, SAFE);
-        sidecar.ready(3);
+        FakeSidecar sidecar = sidecar(false, SAFE);
+        sidecar.listReady(3);
         for (int i = 0; i < 5; i++) {
             sidecar.request(0, 0, 2500 + i, false);
             serve(sidecar, 50);
         }
         leaves(sidecar);
-        sidecar.pass(800);
+        sidecar.advance(800);
         leaves(sidecar);
-        sidecar.pass(300);
+        sidecar.advance(300);
         int sent = sidecar.sent.size();
         int late = sidecar.request(0, 0, 2900, false); // 1,100 of 4,000 ms are gone, and the aim is 1,000
         assertTrue(sidecar.ended(late));
         assertEquals(sent, sidecar.sent.size());
         int early = sidecar.request(0, 0, 3700, false); // longer than a first try, yet a later one: 300 ms are gone
         assertEquals(1, sidecar.attemptsOf(early).size());
-        assertEquals(700, sidecar.last().timeoutMs, 3 * Samples.TICK_MS);
+        assertEquals(700, sidecar.lastAttempt().timeoutMs, 3 * TestSettings.TICK_MS);
     }
 
     /** A first try that its client gives up at once, perhaps to come again. */
-    private static void leaves(Sidecar sidecar) {
-        sidecar.clientLeaves(sidecar.request(0, 0, 2500, false));
+    private static void leaves(FakeSidecar sidecar) {
+        sidecar.disconnectClient(sidecar.request(0, 0, 2500, false));
     }
 
     /** A crowd with less patience than most was taken for repeats whose aim has passed, and refused as a whole. */
     @Test
     void littlePatienceIsNoRepeatWhereNoEarlierTryWentUnserved() {
-        Sidecar sidecar = sidecar(false, SAFE);
-        sidecar.ready(3);
+        FakeSidecar sidecar = sidecar(false, SAFE);
+        sidecar.listReady(3);
         for (int i = 0; i < 20; i++) {
             sidecar.request(0, 0, 2500, false);
             serve(sidecar, 50);
@@ -73,8 +73,8 @@
     @Test
     void patienceIsUsualClassByClass() {
         // A class that must not run twice states its whole deadline; beside it others' first tries looked late.
-        Sidecar sidecar = sidecar(false, SAFE, Samples.requestClass(Effect.UNSAFE, Group.ALL, 1));
-        sidecar.ready(3);
+        FakeSidecar sidecar = sidecar(false, SAFE, TestSettings.requestClass(Effect.UNSAFE, Group.ALL, 1));
+        sidecar.listReady(3);
         for (int i = 0; i < 20; i++) {
             int unsafe = sidecar.request(1, 0, 4000, false);
             serve(sidecar, 50);
@@ -87,16 +87,16 @@
 
     @Test
     void markedRepeatsTellTheTimeGoneToo() {
-        Sidecar sidecar = sidecar(true, SAFE);
-        sidecar.ready(3);
+        FakeSidecar sidecar = sidecar(true, SAFE);
+        sidecar.listReady(3);
         assertTrue(sidecar.ended(sidecar.request(0, 0, 2500, true)));
         assertFalse(sidecar.ended(sidecar.request(0, 0, 2500, false)));
     }
 
     @Test
     void whatIsMoreWorkThanTheTimeLeftIsRefusedAtOnce() {
-        Sidecar sidecar = sidecar(true, SAFE);
-        sidecar.ready(3);
+        FakeSidecar sidecar = sidecar(true, SAFE);
+        sidecar.listReady(3);
         assertTrue(sidecar.ended(sidecar.request(0, 0, 4000, false, 1500)));
         assertFalse(sidecar.ended(sidecar.request(0, 0, 4000, false, 500)));
         assertEquals(1, sidecar.sent.size());
@@ -104,28 +104,28 @@
 
     @Test
     void oneAttemptThatIsSlowByChanceSetsNoServerAside() {
-        Sidecar sidecar = sidecar(true, SAFE);
-        sidecar.ready(3);
+        FakeSidecar sidecar = sidecar(true, SAFE);
+        sidecar.listReady(3);
         for (int i = 0; i < 10; i++) {
             sidecar.request(0);
             serve(sidecar, 50);
         }
         sidecar.request(0);
-        sidecar.pass(250); // five medians
+        sidecar.advance(250); // five medians
         assertEquals(List.of(), sidecar.logs);
-        sidecar.pass(350); // twelve
+        sidecar.advance(350); // twelve
         assertTrue(sidecar.logs.get(0).contains("is set aside, silent for"));
     }
 
     @Test
     void sharesLearnFromOneRequestASecond() {
-        Sidecar sidecar = new Sidecar(settings(1, true, LIMITS, false, new Goal(1, 0, 0), SAFE), 7);
-        sidecar.ready(2);
+        FakeSidecar sidecar = new FakeSidecar(settings(1, true, LIMITS, false, new Goal(1, 0, 0), SAFE), 7);
+        sidecar.listReady(2);
         for (int i = 0; i < 120; i++) {
             sidecar.request(0);
-            double tookMs = sidecar.last().upstream == 1 ? 100 : 300;
+            double tookMs = sidecar.lastAttempt().upstream == 1 ? 100 : 300;
             serve(sidecar, tookMs);
-            sidecar.pass(1000 - tookMs);
+            sidecar.advance(1000 - tookMs);
         }
         long quick = sidecar.sent.stream().skip(60).filter(s -> s.upstream == 1).count();
         assertTrue(quick > 38, "of 60 to the quicker server: " + quick);
@@ -133,8 +133,8 @@
 
     @Test
     void sharesStartAtTheListedSize() {
-        Sidecar sidecar = sidecar(true, SAFE);
-        sidecar.list(
+        FakeSidecar sidecar = sidecar(true, SAFE);
+        sidecar.updateList(
                 ListKind.FULL,
                 new Upstream(1, Status.READY, 0, 0, 0, 0, 1),
                 new Upstream(2, Status.READY, 0, 0, 0, 0, 0.25));
@@ -149,16 +149,16 @@
     @Test
     void aServerThatJustTookLongIsOutOfTheDrawForAWhile() {
         // Incident i8eec8b: a jammed server was sent more at once by each of many sidecars.
-        Sidecar sidecar = sidecar(true, SAFE);
-        sidecar.ready(2);
+        FakeSidecar sidecar = sidecar(true, SAFE);
+        sidecar.listReady(2);
         for (int i = 0; i < 10; i++) {
             sidecar.request(0);
             serve(sidecar, 50);
-            sidecar.pass(200);
+            sidecar.advance(200);
         }
         sidecar.request(0);
-        int jammed = sidecar.last().upstream;
-        sidecar.end(sidecar.last(), Outcome.REJECTED);
+        int jammed = sidecar.lastAttempt().upstream;
+        sidecar.end(sidecar.lastAttempt(), Outcome.REJECTED);
         double from = sidecar.now;
         for (int i = 0; i < 5; i++) {
             sidecar.request(0);
@@ -169,7 +169,7 @@
                 sidecar.sent.stream()
                         .filter(s -> s.atMs > from && s.upstream == jammed)
                         .count());
-        sidecar.pass(1500);
+        sidecar.advance(1500);
         for (int i = 0; i < 30; i++) {
             sidecar.request(0);
             serve(sidecar, 50);
@@ -180,15 +180,15 @@
     @Test
     void aStarvedClassIsLiftedAndTheNewestGoFirst() {
         // cuyo-acelero's overload day served its least class 5%; older requests of a class came before newer ones.
-        RequestClass worthy = Samples.requestClass(Effect.SAFE, Group.ALL, 5);
-        Sidecar sidecar = new Sidecar(settings(1, true, LIMITS, false, new Goal(0.4, 0.6, 0), worthy, SAFE), 7);
-        sidecar.ready(1);
+        RequestClass worthy = TestSettings.requestClass(Effect.SAFE, Group.ALL, 5);
+        FakeSidecar sidecar = new FakeSidecar(settings(1, true, LIMITS, false, new Goal(0.4, 0.6, 0), worthy, SAFE), 7);
+        sidecar.listReady(1);
         List<Integer> small = new ArrayList<>();
         for (int i = 0; i < 3000; i++) {
             sidecar.request(0);
             small.add(sidecar.request(1));
-            sidecar.pass(20);
-            List<Sidecar.Sent> out = sidecar.out();
+            sidecar.advance(20);
+            List<FakeSidecar.SentAttempt> out = sidecar.pendingAttempts();
             if (!out.isEmpty()) {
                 sidecar.end(out.get(0), Outcome.OK);
             }
@@ -198,7 +198,7 @@
                         .count()
                 / (double) small.size();
         assertTrue(served > 0.25, "of the class worth less: " + served);
-        assertEquals(List.of(), sidecar.breaches);
+        assertEquals(List.of(), sidecar.violations);
     }
 
     @Test
@@ -206,13 +206,14 @@
         // Incident i0a695e: a fleet grew from 47 to 130 servers, and full subsets never took a new one.
         int held = 0;
         for (int seed = 0; seed < 20; seed++) {
-            Sidecar sidecar = new Sidecar(settings(SIDECARS, true, LIMITS, false, new Goal(1, 0, 0), SAFE), seed);
-            sidecar.ready(20);
+            FakeSidecar sidecar =
+                    new FakeSidecar(settings(SIDECARS, true, LIMITS, false, new Goal(1, 0, 0), SAFE), seed);
+            sidecar.listReady(20);
             Upstream[] fresh = new Upstream[20];
             for (int i = 0; i < 20; i++) {
-                fresh[i] = Sidecar.upstream(101 + i, Status.READY, 0);
+                fresh[i] = FakeSidecar.upstream(101 + i, Status.READY, 0);
             }
-            sidecar.list(ListKind.DELTA, fresh);
+            sidecar.updateList(ListKind.DELTA, fresh);
             for (int i = 0; i < 200; i++) {
                 sidecar.request(0);
                 serve(sidecar, 20);
@@ -231,28 +232,28 @@
     @Test
     void whereMostAttemptsComeLateMostRequestsAreRefusedAtFirst() {
         // Incidents i77f1f4 and i8eec8b: a fleet whose servers go on with overdue work never got out of a jam.
-        Sidecar sidecar = sidecar(true, SAFE);
-        sidecar.ready(12);
+        FakeSidecar sidecar = sidecar(true, SAFE);
+        sidecar.listReady(12);
         for (int i = 0; i < 20; i++) {
             sidecar.request(0);
-            sidecar.pass(1200); // no answer
+            sidecar.advance(1200); // no answer
         }
         int sent = sidecar.sent.size();
         for (int i = 0; i < 50; i++) {
             sidecar.request(0);
-            sidecar.pass(100);
+            sidecar.advance(100);
         }
         assertTrue(sidecar.sent.size() - sent < 35, "of 50 sent: " + (sidecar.sent.size() - sent));
         for (int i = 0; i < 400; i++) {
             sidecar.request(0);
-            sidecar.pass(50);
-            sidecar.out().forEach(attempt -> sidecar.end(attempt, Outcome.OK));
+            sidecar.advance(50);
+            sidecar.pendingAttempts().forEach(attempt -> sidecar.end(attempt, Outcome.OK));
         }
         sent = sidecar.sent.size();
         for (int i = 0; i < 50; i++) {
             sidecar.request(0);
-            sidecar.pass(50);
-            sidecar.out().forEach(attempt -> sidecar.end(attempt, Outcome.OK));
+            sidecar.advance(50);
+            sidecar.pendingAttempts().forEach(attempt -> sidecar.end(attempt, Outcome.OK));
         }
         assertEquals(50, sidecar.sent.size() - sent);
     }
@@ -260,24 +261,24 @@
     @Test
     void firstAttemptsThatAllTimeOutDoNotSpoilTheEstimates() {
         // Each of them moved the estimate of the usual latency by all of it: to nothing, and for good.
-        Sidecar sidecar = sidecar(true, SAFE);
-        sidecar.ready(2);
+        FakeSidecar sidecar = sidecar(true, SAFE);
+        sidecar.listReady(2);
         for (int i = 0; i < 6; i++) {
             sidecar.request(0);
-            sidecar.pass(2000);
+            sidecar.advance(2000);
         }
         for (int i = 0; i < 60; i++) {
             sidecar.request(0);
-            sidecar.pass(50);
-            sidecar.out().forEach(attempt -> sidecar.end(attempt, Outcome.OK));
-            sidecar.pass(950);
+            sidecar.advance(50);
+            sidecar.pendingAttempts().forEach(attempt -> sidecar.end(attempt, Outcome.OK));
+            sidecar.advance(950);
         }
         int served = sidecar.served;
         for (int i = 0; i < 20; i++) {
             sidecar.request(0);
-            sidecar.pass(50);
-            sidecar.out().forEach(attempt -> sidecar.end(attempt, Outcome.OK));
-            sidecar.pass(950);
+            sidecar.advance(50);
+            sidecar.pendingAttempts().forEach(attempt -> sidecar.end(attempt, Outcome.OK));
+            sidecar.advance(950);
         }
         assertEquals(20, sidecar.served - served);
     }
@@ -287,14 +288,15 @@
         // A full bucket at each sidecar let all of them send one request at once to a server that had just started.
         int burst = 0;
         for (int seed = 0; seed < 40; seed++) {
-            Sidecar sidecar = new Sidecar(settings(SIDECARS, true, LIMITS, false, new Goal(1, 0, 0), SAFE), seed);
-            sidecar.ready(4);
+            FakeSidecar sidecar =
+                    new FakeSidecar(settings(SIDECARS, true, LIMITS, false, new Goal(1, 0, 0), SAFE), seed);
+            sidecar.listReady(4);
             for (int i = 0; i < 20; i++) {
                 sidecar.request(0);
                 serve(sidecar, 50);
-                sidecar.pass(450);
+                sidecar.advance(450);
             }
-            sidecar.list(ListKind.DELTA, Sidecar.upstream(9, Status.READY, sidecar.now));
+            sidecar.updateList(ListKind.DELTA, FakeSidecar.upstream(9, Status.READY, sidecar.now));
             double from = sidecar.now;
             for (int i = 0; i < 20; i++) {
                 sidecar.request(0);
--- a/sidecar/src/test/java/gradehub/IdleActions.java
+++ b/sidecar/src/test/java/gradehub/NoOpActions.java
@@ -1,7 +1,7 @@
 package gradehub;
 
 /** Does nothing of what a balancer asks for; a test overrides what it looks at. */
-class IdleActions implements Balancer.Actions {
+class NoOpActions implements Balancer.Actions {
 
     @Override
     public void send(int request, int upstream, double timeoutMs) {}
--- a/sidecar/src/test/java/gradehub/IdleBalancer.java
+++ b/sidecar/src/test/java/gradehub/NoOpBalancer.java
@@ -3,7 +3,7 @@
 import java.util.List;
 
 /** A balancer that does nothing: for tests of what stands around one. */
-public class IdleBalancer implements Balancer {
+public class NoOpBalancer implements Balancer {
 
     @Override
     public void start(double nowMs) {}
--- a/sidecar/src/test/java/gradehub/OutlierEjectionTest.java
+++ b/sidecar/src/test/java/gradehub/OutlierEjectionTest.java
@@ -16,18 +16,18 @@
     private static final double TYPICAL_MS = 100;
 
     private final List<String> logs = new ArrayList<>();
-    private final OutlierEjection ejection = new OutlierEjection(new IdleActions() {
+    private final OutlierEjection ejection = new OutlierEjection(new NoOpActions() {
         @Override
         public void log(String line) {
             logs.add(line);
         }
     });
-    private final UpstreamState upstream = new UpstreamState(Sidecar.upstream(3, Status.READY, 0));
+    private final UpstreamState upstream = new UpstreamState(FakeSidecar.upstream(3, Status.READY, 0));
     private final ClassStats reads = stats();
     private final ClassStats writes = stats();
 
     private static ClassStats stats() {
-        ClassStats stats = new ClassStats(Samples.requestClass(Effect.SAFE, Group.ALL, 1), Samples.TICK_MS);
+        ClassStats stats = new ClassStats(TestSettings.requestClass(Effect.SAFE, Group.ALL, 1), TestSettings.TICK_MS);
         stats.typicalMs = TYPICAL_MS;
         return stats;
     }
--- a/sidecar/src/test/java/gradehub/RetryPolicyTest.java
+++ b/sidecar/src/test/java/gradehub/RetryPolicyTest.java
@@ -20,11 +20,11 @@
     private final UpstreamState first = upstream(1);
 
     private static UpstreamState upstream(int id) {
-        return new UpstreamState(Sidecar.upstream(id, Status.READY, 0));
+        return new UpstreamState(FakeSidecar.upstream(id, Status.READY, 0));
     }
 
     private static Call call(Effect effect, Group group) {
-        ClassStats stats = new ClassStats(Samples.requestClass(effect, group, 1), Samples.TICK_MS);
+        ClassStats stats = new ClassStats(TestSettings.requestClass(effect, group, 1), TestSettings.TICK_MS);
         stats.typicalMs = TYPICAL_MS;
         return new Call(new Balancer.Request(1, 0, 0, 4000, false, 0), stats, 1, 0, USEFUL_UNTIL_MS, USEFUL_UNTIL_MS);
     }
@@ -121,7 +121,7 @@
 
     @Test
     void aKeyedRequestThatMayHaveRunIsNotSentOnceItsKeyMayBeForgotten() {
-        Call call = sent(Effect.KEYED, Group.ALL, Outcome.TIMEOUT); // for 600 ms, by Samples
+        Call call = sent(Effect.KEYED, Group.ALL, Outcome.TIMEOUT); // for 600 ms, by TestSettings
         assertTrue(retries.allowsAt(599, call, upstream(2)));
         assertFalse(retries.allowsAt(600, call, upstream(2)));
         assertTrue(retries.allowsAt(600, sent(Effect.KEYED, Group.ZONE, Outcome.REJECTED), upstream(2)));
--- a/sidecar/src/test/java/gradehub/RulesTest.java
+++ b/sidecar/src/test/java/gradehub/RulesTest.java
@@ -44,24 +44,24 @@
     @MethodSource("worlds")
     void generatedEventsBreakNoRule(Effect effect, Group group, Limits limits) {
         for (int seed = 0; seed < 8; seed++) {
-            Settings settings =
-                    Samples.settings(3, limits, seed % 2 == 0, List.of(), Samples.requestClass(effect, group, 1));
-            Sidecar sidecar = new Sidecar(settings, seed);
+            Settings settings = TestSettings.settings(
+                    3, limits, seed % 2 == 0, List.of(), TestSettings.requestClass(effect, group, 1));
+            FakeSidecar sidecar = new FakeSidecar(settings, seed);
             play(sidecar, new Random(seed), 1500);
-            assertEquals(List.of(), sidecar.breaches, "seed " + seed);
-            assertEquals(0, sidecar.open());
+            assertEquals(List.of(), sidecar.violations, "seed " + seed);
+            assertEquals(0, sidecar.openRequests());
             assertTrue(sidecar.served > 0, "something was served");
         }
     }
 
     /** Random events: requests of all patience, answers of all kinds, lists old and new, restarts, clients gone. */
-    private static void play(Sidecar sidecar, Random random, int events) {
-        sidecar.list(ListKind.CACHED);
-        sidecar.ready(1 + random.nextInt(14));
+    private static void play(FakeSidecar sidecar, Random random, int events) {
+        sidecar.updateList(ListKind.CACHED);
+        sidecar.listReady(1 + random.nextInt(14));
         Outcome[] outcomes = Outcome.values();
         int newest = 0;
         for (int i = 0; i < events; i++) {
-            List<Sidecar.Sent> out = sidecar.out();
+            List<FakeSidecar.SentAttempt> out = sidecar.pendingAttempts();
             int dice = random.nextInt(100);
             if (dice < 35) {
                 newest = sidecar.request(0, 0, random.nextInt(10) == 0 ? 5 + random.nextInt(200) : 4000, false);
@@ -73,24 +73,25 @@
                 List<Upstream> entries = new ArrayList<>();
                 for (int id = 1 + random.nextInt(3); id < 16; id += 1 + random.nextInt(5)) {
                     double startedMs = random.nextBoolean() ? 0 : sidecar.now - random.nextInt(12_000);
-                    entries.add(Sidecar.upstream(id, statuses[random.nextInt(3)], startedMs));
+                    entries.add(FakeSidecar.upstream(id, statuses[random.nextInt(3)], startedMs));
                 }
-                sidecar.list(random.nextInt(4) == 0 ? ListKind.FULL : ListKind.DELTA, entries.toArray(new Upstream[0]));
+                sidecar.updateList(
+                        random.nextInt(4) == 0 ? ListKind.FULL : ListKind.DELTA, entries.toArray(new Upstream[0]));
             } else if (dice < 74) {
-                sidecar.list(ListKind.FAILED);
+                sidecar.updateList(ListKind.FAILED);
             } else if (dice < 76 && newest > 0 && !sidecar.ended(newest)) {
-                sidecar.clientLeaves(newest);
+                sidecar.disconnectClient(newest);
             } else {
-                sidecar.pass(random.nextInt(40));
+                sidecar.advance(random.nextInt(40));
             }
         }
-        sidecar.pass(5000);
+        sidecar.advance(5000);
     }
 
     @Test
     void theCheckerCatchesEachBreach() {
         assertCaught("drain", Effect.SAFE, (sidecar, request) -> {
-            sidecar.list(ListKind.DELTA, Sidecar.upstream(1, Status.DRAINING, 0));
+            sidecar.updateList(ListKind.DELTA, FakeSidecar.upstream(1, Status.DRAINING, 0));
             sidecar.send(request, 1, 100);
         });
         assertCaught("repeat", Effect.UNSAFE, (sidecar, request) -> {
@@ -109,31 +110,31 @@
             sidecar.refuse(request, 0);
             sidecar.fail(request);
         });
-        assertCaught("lost", Effect.SAFE, (sidecar, request) -> sidecar.pass(10_000));
+        assertCaught("lost", Effect.SAFE, (sidecar, request) -> sidecar.advance(10_000));
     }
 
     private interface Misdeed {
-        void commit(Sidecar sidecar, int request);
+        void commit(FakeSidecar sidecar, int request);
     }
 
     private static void assertCaught(String rule, Effect effect, Misdeed misdeed) {
-        Sidecar sidecar = new Sidecar(
-                Samples.settings(Samples.requestClass(effect, Group.ZONE, 1)),
+        FakeSidecar sidecar = new FakeSidecar(
+                TestSettings.settings(TestSettings.requestClass(effect, Group.ZONE, 1)),
                 1,
-                (settings, seed, actions) -> new IdleBalancer());
-        sidecar.ready(3);
+                (settings, seed, actions) -> new NoOpBalancer());
+        sidecar.listReady(3);
         misdeed.commit(sidecar, sidecar.request(0));
         assertTrue(
-                sidecar.breaches.stream().anyMatch(breach -> breach.startsWith(rule)),
-                rule + " not in " + sidecar.breaches);
+                sidecar.violations.stream().anyMatch(breach -> breach.startsWith(rule)),
+                rule + " not in " + sidecar.violations);
     }
 
     @Test
     void lateAndUnknownEventsChangeNothing() {
-        Sidecar sidecar = new Sidecar(Samples.safe(), 3);
-        sidecar.ready(3);
+        FakeSidecar sidecar = new FakeSidecar(TestSettings.safe(), 3);
+        sidecar.listReady(3);
         int request = sidecar.request(0);
-        Sidecar.Sent attempt = sidecar.last();
+        FakeSidecar.SentAttempt attempt = sidecar.lastAttempt();
         sidecar.now += 50;
         sidecar.end(attempt, Outcome.OK);
         int before = sidecar.actions.size();
@@ -152,7 +153,7 @@
     @Test
     void aRequestWithLessTimeThanAControlTickIsAnsweredAtOnce() {
         // Incident id7bbad: it was held for the next control tick and answered late.
-        Sidecar sidecar = new Sidecar(Samples.safe(), 3);
+        FakeSidecar sidecar = new FakeSidecar(TestSettings.safe(), 3);
         int request = sidecar.request(0, 0, 30, false);
         assertTrue(sidecar.ended(request));
         assertEquals(1, sidecar.refused);
@@ -160,10 +161,10 @@
 
     @Test
     void aStartedStreamIsNeitherCancelledNorSentAgain() {
-        Settings settings = Samples.settings(
+        Settings settings = TestSettings.settings(
                 new Balancer.RequestClass("stream", 1000, 4000, 1, 0, Effect.SAFE, Group.ALL, 0, true));
-        Sidecar sidecar = new Sidecar(settings, 3);
-        sidecar.ready(3);
+        FakeSidecar sidecar = new FakeSidecar(settings, 3);
+        sidecar.listReady(3);
         int request = sidecar.request(0);
         sidecar.now += 100;
         sidecar.balancer.streamStarted(sidecar.now, request, 0, 100);
@@ -177,11 +178,11 @@
 
     @Test
     void sameEventsGiveTheSameActionsAndInstancesShareNothing() {
-        Sidecar alone = new Sidecar(Samples.safe(), 11);
+        FakeSidecar alone = new FakeSidecar(TestSettings.safe(), 11);
         play(alone, new Random(5), 1000);
-        Sidecar neighbour = new Sidecar(Samples.safe(), 12);
+        FakeSidecar neighbour = new FakeSidecar(TestSettings.safe(), 12);
         play(neighbour, new Random(6), 500);
-        Sidecar beside = new Sidecar(Samples.safe(), 11);
+        FakeSidecar beside = new FakeSidecar(TestSettings.safe(), 11);
         play(beside, new Random(5), 1000);
         assertEquals(alone.actions, beside.actions);
         assertFalse(alone.actions.equals(neighbour.actions));
--- a/sidecar/src/test/java/gradehub/SharesTest.java
+++ b/sidecar/src/test/java/gradehub/SharesTest.java
@@ -21,11 +21,11 @@
     private static final double NEVER_SENT = 0;
 
     /** Sends requests that are answered at once, as though each had taken its upstream's time; counts the draws. */
-    private static Map<Integer, Double> draw(Sidecar sidecar, int draws, Map<Integer, Double> latencyMs) {
+    private static Map<Integer, Double> draw(FakeSidecar sidecar, int draws, Map<Integer, Double> latencyMs) {
         Map<Integer, Double> parts = new HashMap<>();
         for (int i = 0; i < draws; i++) {
             sidecar.request(0);
-            Sidecar.Sent attempt = sidecar.last();
+            FakeSidecar.SentAttempt attempt = sidecar.lastAttempt();
             double tookMs = latencyMs.getOrDefault(attempt.upstream, 100.0);
             attempt.outcome = tookMs == NEVER_SENT ? Outcome.NOT_SENT : Outcome.OK;
             sidecar.balancer.attemptEnded(
@@ -43,9 +43,9 @@
         return parts;
     }
 
-    private static Sidecar sidecar(int upstreams) {
-        Sidecar sidecar = new Sidecar(Samples.safe(), 7);
-        sidecar.ready(upstreams);
+    private static FakeSidecar sidecar(int upstreams) {
+        FakeSidecar sidecar = new FakeSidecar(TestSettings.safe(), 7);
+        sidecar.listReady(upstreams);
         return sidecar;
     }
 
@@ -58,17 +58,17 @@
     }
 
     /** Ticks fall due while requests are in hand: the first of these rounds is counted with the second. */
-    private static void tick(Sidecar sidecar, int ticks, int draws, Map<Integer, Double> latencyMs) {
+    private static void tick(FakeSidecar sidecar, int ticks, int draws, Map<Integer, Double> latencyMs) {
         for (int round = 0; round <= ticks; round++) {
             draw(sidecar, draws, latencyMs);
-            sidecar.pass(1100);
+            sidecar.advance(1100);
         }
     }
 
     @Test
     void aTickMovesSharesByTheHandWorkedStep() {
         // l = 100, 150; mean 125; deviations -0.2, +0.2; factors 1.04, 0.96 (2,000 samples: trust 0.998).
-        Sidecar sidecar = sidecar(2);
+        FakeSidecar sidecar = sidecar(2);
         Map<Integer, Double> latencyMs = Map.of(1, 100.0, 2, 150.0);
         tick(sidecar, 5, 4000, latencyMs);
         // After five ticks 0.5 x 1.04^5 to 0.5 x 0.96^5: 0.6083 to 0.4077, over their sum 0.599 and 0.401.
@@ -81,7 +81,7 @@
     void aServerWithoutSamplesInATickKeepsItsShare() {
         // As above for 1 and 2; 3 has no samples (its attempts are never sent). After five ticks
         // 0.3333 x 1.2167, 0.3333 x 0.8154 and 0.3333, over their sum 1.0107: 0.401, 0.269, 0.330.
-        Sidecar sidecar = sidecar(3);
+        FakeSidecar sidecar = sidecar(3);
         Map<Integer, Double> latencyMs = Map.of(1, 100.0, 2, 150.0, 3, NEVER_SENT);
         tick(sidecar, 5, 6000, latencyMs);
         Map<Integer, Double> parts = draw(sidecar, DRAWS, latencyMs);
@@ -94,9 +94,9 @@
     void fewSamplesMoveAShareLittle() {
         // About two answers of each in a tick: trust about 2 / (2 + 4), a third of the full step.
         Map<Integer, Double> latencyMs = Map.of(1, 100.0, 2, 150.0);
-        Sidecar few = sidecar(2);
+        FakeSidecar few = sidecar(2);
         tick(few, 12, 4, latencyMs);
-        Sidecar many = sidecar(2);
+        FakeSidecar many = sidecar(2);
         tick(many, 12, 4000, latencyMs);
         double fewMoved = draw(few, DRAWS, latencyMs).get(1) - 0.5;
         double manyMoved = draw(many, DRAWS, latencyMs).get(1) - 0.5;
@@ -105,10 +105,10 @@
 
     @Test
     void aFarOutlierLosesShareButNeverAllOfItAndClimbsBack() {
-        Sidecar sidecar = sidecar(10);
+        FakeSidecar sidecar = sidecar(10);
         for (int tick = 0; tick < 40; tick++) {
             draw(sidecar, 500, Map.of(3, 900_000.0));
-            sidecar.pass(3000);
+            sidecar.advance(3000);
         }
         Map<Integer, Double> parts = draw(sidecar, DRAWS, Map.of());
         double low = parts.getOrDefault(3, 0.0);
@@ -119,7 +119,7 @@
                 latencyMs.put(upstream, 50 + 500 * parts.getOrDefault(upstream, 0.0)); // the busier, the slower
             }
             parts = draw(sidecar, 500, latencyMs);
-            sidecar.pass(3000);
+            sidecar.advance(3000);
         }
         double high = draw(sidecar, DRAWS, Map.of()).get(3);
         assertTrue(high > 0.07, "back near the mean share, not " + high);
@@ -127,21 +127,21 @@
 
     @Test
     void theSubsetHasTenMembersAndADrainedOneGivesWayAtTheMeanShare() {
-        Sidecar sidecar = new Sidecar(
-                Samples.settings(
+        FakeSidecar sidecar = new FakeSidecar(
+                TestSettings.settings(
                         12,
                         new Balancer.Limits(4, true, true, false, 0),
                         false,
                         List.of(),
-                        Samples.requestClass(Balancer.Effect.SAFE, Balancer.Group.ALL, 1)),
+                        TestSettings.requestClass(Balancer.Effect.SAFE, Balancer.Group.ALL, 1)),
                 7);
-        sidecar.ready(14);
+        sidecar.listReady(14);
         draw(sidecar, 200, Map.of()); // the first answers: what is usual is not known yet
-        sidecar.pass(2000);
+        sidecar.advance(2000);
         Map<Integer, Double> before = draw(sidecar, DRAWS, Map.of());
         assertEquals(10, before.size());
         int drained = before.keySet().iterator().next();
-        sidecar.list(ListKind.DELTA, Sidecar.upstream(drained, Status.DRAINING, 0));
+        sidecar.updateList(ListKind.DELTA, FakeSidecar.upstream(drained, Status.DRAINING, 0));
         Map<Integer, Double> after = draw(sidecar, DRAWS, Map.of());
         assertEquals(10, after.size(), after + ", drained " + drained);
         assertFalse(after.containsKey(drained));
--- a/sidecar/src/test/java/gradehub/SubscriptionTest.java
+++ b/sidecar/src/test/java/gradehub/SubscriptionTest.java
@@ -20,20 +20,21 @@
     void anAskingSidecarSubscribesAndDoesSoAgainAtPacedRandomTimes() {
         List<Double> delays = new ArrayList<>();
         for (int seed = 0; seed < 20; seed++) {
-            Sidecar sidecar = new Sidecar(
-                    Samples.settings(20, LIMITS, true, List.of(), Samples.requestClass(Effect.SAFE, Group.ALL, 1)),
+            FakeSidecar sidecar = new FakeSidecar(
+                    TestSettings.settings(
+                            20, LIMITS, true, List.of(), TestSettings.requestClass(Effect.SAFE, Group.ALL, 1)),
                     seed);
             assertEquals(1, sidecar.subscriptions);
-            sidecar.list(ListKind.FAILED);
-            sidecar.list(ListKind.FAILED);
+            sidecar.updateList(ListKind.FAILED);
+            sidecar.updateList(ListKind.FAILED);
             double from = sidecar.now;
             while (sidecar.subscriptions == 1) {
-                sidecar.pass(1);
+                sidecar.advance(1);
             }
             delays.add(sidecar.now - from);
             for (int i = 0; i < 10; i++) {
-                sidecar.list(ListKind.FAILED);
-                sidecar.pass(sidecar.settings.contract().askEveryMs() / 2);
+                sidecar.updateList(ListKind.FAILED);
+                sidecar.advance(sidecar.settings.contract().askEveryMs() / 2);
             }
             assertEquals(12, sidecar.subscriptions, "asks again within half the time allowed");
         }
@@ -50,15 +51,16 @@
         assertTrue(ListTimes.SILENCE_MS > 2000, "an empty line comes every 2 s");
         List<Double> delays = new ArrayList<>();
         for (int seed = 0; seed < 20; seed++) {
-            Sidecar sidecar = new Sidecar(
-                    Samples.settings(20, LIMITS, true, List.of(), Samples.requestClass(Effect.SAFE, Group.ALL, 1)),
+            FakeSidecar sidecar = new FakeSidecar(
+                    TestSettings.settings(
+                            20, LIMITS, true, List.of(), TestSettings.requestClass(Effect.SAFE, Group.ALL, 1)),
                     seed);
             for (int call = 1; call < 30; call++) {
                 assertEquals(call, sidecar.subscriptions);
-                sidecar.list(ListKind.FAILED);
+                sidecar.updateList(ListKind.FAILED);
                 double from = sidecar.now;
                 while (sidecar.subscriptions == call) {
-                    sidecar.pass(1);
+                    sidecar.advance(1);
                 }
                 assertTrue(sidecar.now - from <= ListTimes.PAUSE_MS + 1, "it waits " + (sidecar.now - from));
                 delays.add(sidecar.now - from);
--- a/sidecar/src/test/java/gradehub/Samples.java
+++ b/sidecar/src/test/java/gradehub/TestSettings.java
@@ -11,11 +11,11 @@
 import java.util.List;
 
 /** Settings for the tests. */
-final class Samples {
+final class TestSettings {
 
     static final double TICK_MS = 5;
 
-    private Samples() {}
+    private TestSettings() {}
 
     static RequestClass requestClass(Effect effect, Group group, double worth) {
         return new RequestClass("class", 1000, 4000, worth, 0, effect, group, 600, false);
--- a/sidecar/src/test/java/gradehub/UpstreamListTest.java
+++ b/sidecar/src/test/java/gradehub/UpstreamListTest.java
@@ -23,14 +23,14 @@
         UpstreamList list = new UpstreamList(sidecars, new SplittableRandom(3));
         List<Upstream> entries = new ArrayList<>();
         for (int id = 1; id <= upstreams; id++) {
-            entries.add(Sidecar.upstream(id, Status.READY, 0));
+            entries.add(FakeSidecar.upstream(id, Status.READY, 0));
         }
         list.apply(0, ListKind.FULL, entries);
         return list;
     }
 
     private static void change(UpstreamList list, int id, Status status, double startedMs) {
-        list.apply(0, ListKind.DELTA, List.of(Sidecar.upstream(id, status, startedMs)));
+        list.apply(0, ListKind.DELTA, List.of(FakeSidecar.upstream(id, status, startedMs)));
     }
 
     private static double sumOfShares(UpstreamList list) {
@@ -66,7 +66,7 @@
     @Test
     void whatAFullListLeavesOutIsGone() {
         UpstreamList list = list(1, 3);
-        list.apply(0, ListKind.FULL, List.of(Sidecar.upstream(2, Status.READY, 0)));
+        list.apply(0, ListKind.FULL, List.of(FakeSidecar.upstream(2, Status.READY, 0)));
         assertEquals(1, list.members.size());
         assertNull(list.find(1));
         assertSame(list.members.get(0), list.find(2));
@@ -94,7 +94,7 @@
             list.apply(0, ListKind.FULL, List.of());
             List<Upstream> entries = new ArrayList<>();
             for (int id = 1; id <= 39; id++) {
-                entries.add(Sidecar.upstream(id, Status.READY, 0));
+                entries.add(FakeSidecar.upstream(id, Status.READY, 0));
             }
             list.apply(0, ListKind.FULL, entries);
             change(list, 40, Status.READY, 0);
--- a/sidecar/src/test/java/gradehub/benchlink/Frame.java
+++ b/sidecar/src/test/java/gradehub/benchlink/BatchBuilder.java
@@ -8,20 +8,20 @@
 import java.util.function.Consumer;
 
 /** Writes one batch as the simulator would. */
-final class Frame {
+final class BatchBuilder {
     private final ByteBuffer body = ByteBuffer.allocate(1 << 20).order(ByteOrder.LITTLE_ENDIAN);
     private int records;
 
-    Frame at(int instance) {
+    BatchBuilder instance(int instance) {
         return put(12, 2, b -> b.putShort((short) instance));
     }
 
-    Frame spawn(long seed, String settings) {
+    BatchBuilder startInstance(long seed, String settings) {
         byte[] text = settings.getBytes(StandardCharsets.UTF_8);
         return put(1, 12 + text.length, b -> b.putLong(seed).putInt(text.length).put(text));
     }
 
-    Frame inventory(int bank, int... upstreams) {
+    BatchBuilder upstreamList(int bank, int... upstreams) {
         return put(11, 5 + 22 * upstreams.length, b -> {
             b.put((byte) bank).putInt(upstreams.length);
             for (int upstream : upstreams) {
@@ -36,11 +36,11 @@
         });
     }
 
-    Frame membership(int mode, int bank) {
+    BatchBuilder listEvent(int mode, int bank) {
         return put(2, 6, b -> b.put((byte) mode).putInt(1).put((byte) bank));
     }
 
-    Frame call(int id) {
+    BatchBuilder request(int id) {
         return put(
                 3,
                 35,
@@ -53,7 +53,7 @@
                         .putDouble(0));
     }
 
-    Frame verdict(int id, int upstream, int leg, int code, boolean complete) {
+    BatchBuilder attemptEnded(int id, int upstream, int leg, int code, boolean complete) {
         return put(
                 5,
                 20,
@@ -66,11 +66,11 @@
                         .put((byte) 0));
     }
 
-    Frame teardown() {
+    BatchBuilder removeInstance() {
         return put(10, 0, b -> {});
     }
 
-    Frame put(int code, int bytes, Consumer<ByteBuffer> fields) {
+    BatchBuilder put(int code, int bytes, Consumer<ByteBuffer> fields) {
         int before = body.position();
         body.putShort((short) code);
         fields.accept(body);
--- a/sidecar/src/test/java/gradehub/benchlink/BenchLinkTest.java
+++ b/sidecar/src/test/java/gradehub/benchlink/BenchLinkTest.java
@@ -5,8 +5,8 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import gradehub.IdleBalancer;
 import gradehub.LoadShiftingBalancer;
+import gradehub.NoOpBalancer;
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
@@ -64,7 +64,7 @@
 
     @Test
     void actionsAreWrittenByteForByte() throws IOException {
-        BenchLink.Factory factory = (settings, seed, actions) -> new IdleBalancer() {
+        BenchLink.Factory factory = (settings, seed, actions) -> new NoOpBalancer() {
             @Override
             public void timer(double nowMs, int token) {
                 actions.send(0x5d3a91c4, 0x03124a07, 80);
@@ -79,9 +79,9 @@
                 actions.fetchList();
             }
         };
-        byte[] input = new Frame()
-                .at(3)
-                .spawn(1, SETTINGS)
+        byte[] input = new BatchBuilder()
+                .instance(3)
+                .startInstance(1, SETTINGS)
                 .put(7, 4, b -> b.putInt(77))
                 .bytes(1, 12);
         String expected = "0c000000" + "0d000300"
@@ -102,19 +102,19 @@
 
     @Test
     void aRequestIsSentAndReusedListNumbersAreTakenInOrder() throws IOException {
-        byte[] input = new Frame()
-                .at(0)
-                .spawn(1, SETTINGS)
-                .inventory(0, 41)
-                .membership(2, 0)
-                .at(1)
-                .spawn(2, SETTINGS)
-                .inventory(0, 42)
-                .membership(2, 0)
-                .at(0)
-                .call(1)
-                .at(1)
-                .call(1)
+        byte[] input = new BatchBuilder()
+                .instance(0)
+                .startInstance(1, SETTINGS)
+                .upstreamList(0, 41)
+                .listEvent(2, 0)
+                .instance(1)
+                .startInstance(2, SETTINGS)
+                .upstreamList(0, 42)
+                .listEvent(2, 0)
+                .instance(0)
+                .request(1)
+                .instance(1)
+                .request(1)
                 .bytes(100, 1);
         String reply = HexFormat.of().formatHex(run(input));
         assertTrue(reply.contains("29000000") && reply.contains("2a000000"), reply);
@@ -128,15 +128,17 @@
         List<byte[]> together = new ArrayList<>();
         List<byte[]> alone = new ArrayList<>();
         for (int batch = 1; batch < 40; batch++) {
-            Frame both = new Frame();
-            Frame one = new Frame();
+            BatchBuilder both = new BatchBuilder();
+            BatchBuilder one = new BatchBuilder();
             for (int instance = 0; instance < 2; instance++) {
-                for (Frame frame : instance == 0 ? List.of(both) : List.of(both, one)) {
-                    frame.at(instance);
+                for (BatchBuilder frame : instance == 0 ? List.of(both) : List.of(both, one)) {
+                    frame.instance(instance);
                     if (batch == 1) {
-                        frame.spawn(instance, SETTINGS).inventory(1, 1, 2, 3).membership(2, 1);
+                        frame.startInstance(instance, SETTINGS)
+                                .upstreamList(1, 1, 2, 3)
+                                .listEvent(2, 1);
                     } else {
-                        frame.call(batch);
+                        frame.request(batch);
                     }
                 }
             }
@@ -173,27 +175,30 @@
 
     @Test
     void eventsAfterATeardownAreIgnoredAndAFreshStartKnowsNothing() throws IOException {
-        byte[] input = new Frame()
-                .at(0)
-                .spawn(1, SETTINGS)
-                .inventory(0, 41)
-                .membership(2, 0)
-                .teardown()
-                .call(1)
+        byte[] input = new BatchBuilder()
+                .instance(0)
+                .startInstance(1, SETTINGS)
+                .upstreamList(0, 41)
+                .listEvent(2, 0)
+                .removeInstance()
+                .request(1)
                 .bytes(100, 1);
         assertEquals("0400000001000000", HexFormat.of().formatHex(run(input)));
     }
 
     @Test
     void anExceptionOfTheModuleBecomesAPanic() throws IOException {
-        BenchLink.Factory factory = (settings, seed, actions) -> new IdleBalancer() {
+        BenchLink.Factory factory = (settings, seed, actions) -> new NoOpBalancer() {
             @Override
             public void timer(double nowMs, int token) {
                 throw new IllegalStateException("boom");
             }
         };
-        byte[] input =
-                new Frame().at(3).spawn(1, SETTINGS).put(7, 4, b -> b.putInt(1)).bytes(1, 1);
+        byte[] input = new BatchBuilder()
+                .instance(3)
+                .startInstance(1, SETTINGS)
+                .put(7, 4, b -> b.putInt(1))
+                .bytes(1, 1);
         assertTrue(HexFormat.of().formatHex(run(factory, input)).endsWith("0d000300" + "0a000400" + "626f6f6d"));
     }
 
@@ -201,41 +206,50 @@
     void missingOrUnreadableSettingsAreNamed() {
         assertMalformed(
                 "record 1 at byte 24: settings: at least one request class is needed",
-                new Frame().at(0).spawn(1, "").bytes(1, 1));
+                new BatchBuilder().instance(0).startInstance(1, "").bytes(1, 1));
         assertMalformed(
                 "lanes.0.hardLimitMs is missing",
-                new Frame().at(0).spawn(1, "lanes.count=1\n").bytes(1, 1));
+                new BatchBuilder()
+                        .instance(0)
+                        .startInstance(1, "lanes.count=1\n")
+                        .bytes(1, 1));
         assertMalformed(
                 "lanes.count is not a number: one",
-                new Frame().at(0).spawn(1, "lanes.count=one\n").bytes(1, 1));
+                new BatchBuilder()
+                        .instance(0)
+                        .startInstance(1, "lanes.count=one\n")
+                        .bytes(1, 1));
         assertMalformed(
                 "is not a number: soon",
-                new Frame().at(0).spawn(1, SETTINGS.replace("4000.0", "soon")).bytes(1, 1));
+                new BatchBuilder()
+                        .instance(0)
+                        .startInstance(1, SETTINGS.replace("4000.0", "soon"))
+                        .bytes(1, 1));
     }
 
     @Test
     void unknownSettingsArePassedOver() throws IOException {
-        byte[] plain = run(new Frame()
-                .at(0)
-                .spawn(1, SETTINGS)
-                .inventory(0, 41)
-                .membership(2, 0)
-                .call(1)
+        byte[] plain = run(new BatchBuilder()
+                .instance(0)
+                .startInstance(1, SETTINGS)
+                .upstreamList(0, 41)
+                .listEvent(2, 0)
+                .request(1)
                 .bytes(5, 1));
         assertArrayEquals(
                 plain,
-                run(new Frame()
-                        .at(0)
-                        .spawn(1, SETTINGS + "\nnever.heard=of\n")
-                        .inventory(0, 41)
-                        .membership(2, 0)
-                        .call(1)
+                run(new BatchBuilder()
+                        .instance(0)
+                        .startInstance(1, SETTINGS + "\nnever.heard=of\n")
+                        .upstreamList(0, 41)
+                        .listEvent(2, 0)
+                        .request(1)
                         .bytes(5, 1)));
     }
 
     @Test
     void malformedFramesNameWhatAndWhere() {
-        byte[] good = new Frame().at(0).call(1).bytes(1, 9);
+        byte[] good = new BatchBuilder().instance(0).request(1).bytes(1, 9);
         assertMalformed("header bytes", Arrays.copyOf(good, 7));
         assertMalformed("input ends", Arrays.copyOf(good, good.length - 3));
         byte[] shorter = Arrays.copyOf(good, good.length - 3);
@@ -245,9 +259,10 @@
         huge[11] = 0x7f;
         assertMalformed("length field", huge);
         assertMalformed(
-                "unknown event code 99", new Frame().at(0).put(99, 0, b -> {}).bytes(1, 1));
-        assertMalformed("before any instance", new Frame().call(1).bytes(1, 1));
-        byte[] fewer = new Frame().at(0).call(1).bytes(1, 1);
+                "unknown event code 99",
+                new BatchBuilder().instance(0).put(99, 0, b -> {}).bytes(1, 1));
+        assertMalformed("before any instance", new BatchBuilder().request(1).bytes(1, 1));
+        byte[] fewer = new BatchBuilder().instance(0).request(1).bytes(1, 1);
         fewer[12] = 1;
         assertMalformed("follow the last record", fewer);
     }
@@ -256,9 +271,9 @@
     void unknownClassesAndOutcomesAreNamed() {
         assertMalformed(
                 "unknown class 7",
-                new Frame()
-                        .at(0)
-                        .spawn(1, SETTINGS)
+                new BatchBuilder()
+                        .instance(0)
+                        .startInstance(1, SETTINGS)
                         .put(
                                 3,
                                 35,
@@ -270,20 +285,26 @@
                                         .putInt(0)
                                         .putDouble(0))
                         .bytes(1, 1));
-        assertMalformed("outcome 9", new Frame().at(0).verdict(1, 1, 0, 9, true).bytes(1, 1));
+        assertMalformed(
+                "outcome 9",
+                new BatchBuilder().instance(0).attemptEnded(1, 1, 0, 9, true).bytes(1, 1));
     }
 
     @Test
     void malformedListsOfUpstreamsAreNamed() {
         assertMalformed(
                 "list number 16",
-                new Frame().at(0).put(11, 5, b -> b.put((byte) 16).putInt(0)).bytes(1, 1));
+                new BatchBuilder()
+                        .instance(0)
+                        .put(11, 5, b -> b.put((byte) 16).putInt(0))
+                        .bytes(1, 1));
         assertMalformed(
-                "unknown list kind 4", new Frame().at(0).membership(4, 0).bytes(1, 1));
+                "unknown list kind 4",
+                new BatchBuilder().instance(0).listEvent(4, 0).bytes(1, 1));
         assertMalformed(
                 "unknown status 3",
-                new Frame()
-                        .at(0)
+                new BatchBuilder()
+                        .instance(0)
                         .put(
                                 11,
                                 27,
@@ -299,7 +320,10 @@
                         .bytes(1, 1));
         assertMalformed(
                 "past the end",
-                new Frame().at(0).put(11, 5, b -> b.put((byte) 0).putInt(-1)).bytes(1, 1));
+                new BatchBuilder()
+                        .instance(0)
+                        .put(11, 5, b -> b.put((byte) 0).putInt(-1))
+                        .bytes(1, 1));
     }
 
     private static void assertMalformed(String part, byte[] input) {
@@ -310,14 +334,14 @@
     @Test
     void theMainClassRunsOverRealStreams(@TempDir Path dir) throws Exception {
         byte[] good = join(
-                new Frame()
-                        .at(0)
-                        .spawn(1, SETTINGS)
-                        .inventory(0, 41)
-                        .membership(2, 0)
-                        .call(1)
+                new BatchBuilder()
+                        .instance(0)
+                        .startInstance(1, SETTINGS)
+                        .upstreamList(0, 41)
+                        .listEvent(2, 0)
+                        .request(1)
                         .bytes(5, 1),
-                new Frame().bytes(10, 2));
+                new BatchBuilder().bytes(10, 2));
         Result fine = launch(dir, good);
         assertEquals(0, fine.exit);
         assertEquals("", fine.err);
@@ -326,7 +350,12 @@
         assertTrue(cut.exit != 0);
         assertArrayEquals(fine.out, cut.out, "nothing more after the malformed frame");
         assertEquals("gradehub: input ends after 3 of 20 header bytes", cut.err.trim());
-        Result unset = launch(dir, new Frame().at(0).spawn(1, "lanes.count=1\n").bytes(1, 1));
+        Result unset = launch(
+                dir,
+                new BatchBuilder()
+                        .instance(0)
+                        .startInstance(1, "lanes.count=1\n")
+                        .bytes(1, 1));
         assertTrue(unset.exit != 0);
         assertEquals(0, unset.out.length);
         assertEquals(
--- a/sidecar/src/test/java/gradehub/node/EngineTest.java
+++ b/sidecar/src/test/java/gradehub/node/EngineTest.java
@@ -7,7 +7,7 @@
 import gradehub.Balancer.AttemptEnd;
 import gradehub.Balancer.Outcome;
 import gradehub.Balancer.Request;
-import gradehub.IdleBalancer;
+import gradehub.NoOpBalancer;
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
@@ -77,7 +77,7 @@
 
     @Test
     void anExceptionOfTheModuleEndsItsRequestAndNothingElse() throws Exception {
-        Engine engine = engine(actions -> new IdleBalancer() {
+        Engine engine = engine(actions -> new NoOpBalancer() {
             @Override
             public void request(double nowMs, Request request) {
                 throw new IllegalStateException("on purpose, in a test");
@@ -92,7 +92,7 @@
     @Test
     void whatIsLeftUnansweredFailsAtItsDeadline() throws Exception {
         List<Integer> left = new CopyOnWriteArrayList<>();
-        Engine engine = engine(actions -> new IdleBalancer() {
+        Engine engine = engine(actions -> new NoOpBalancer() {
             @Override
             public void clientLeft(double nowMs, int request) {
                 left.add(request);
@@ -107,7 +107,7 @@
     @Test
     void whatIsEndedDuringAnotherEventIsLetGo() throws Exception {
         List<Integer> waiting = new ArrayList<>();
-        Engine engine = engine(actions -> new IdleBalancer() {
+        Engine engine = engine(actions -> new NoOpBalancer() {
             @Override
             public void request(double nowMs, Request request) {
                 waiting.forEach(id -> actions.refuse(id, 0));
@@ -129,7 +129,7 @@
     @Test
     void nothingIsSentToAnUpstreamThatLeaves() throws Exception {
         List<Outcome> ends = new ArrayList<>();
-        Engine engine = engine(actions -> new IdleBalancer() {
+        Engine engine = engine(actions -> new NoOpBalancer() {
             private int leaving;
 
             @Override
@@ -163,7 +163,7 @@
     @Test
     void theModuleIsNeverEnteredTwice() throws Exception {
         List<String> told = new ArrayList<>();
-        Engine engine = engine(actions -> new IdleBalancer() {
+        Engine engine = engine(actions -> new NoOpBalancer() {
             @Override
             public void request(double nowMs, Request request) {
                 told.add("request");
