--- a/sidecar/src/test/java/gradehub/FailureHandlingTest.java
+++ b/sidecar/src/test/java/gradehub/FailureHandlingTest.java
@@ -17,28 +17,28 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Each departure from the ordinary path: that it acts on its condition, and that it ends. */
+/** Reactions to faults, overload, cold starts and list changes: each begins on its condition and ends again. */
 class FailureHandlingTest {
 
     private static final Limits LIMITS = new Limits(4, true, true, false, 0);
 
-    /** What an upstream does with an attempt: its outcome once the time has come, or null to stay silent. */
-    private interface Fleet {
-        Outcome answer(FakeSidecar.SentAttempt attempt, double ageMs);
+    /** Returns the outcome of an attempt of this age, or null while the upstream does not answer. */
+    private interface OutcomeModel {
+        Outcome outcome(FakeSidecar.SentAttempt attempt, double ageMs);
     }
 
-    private static final Fleet SOUND = (attempt, ageMs) -> ageMs >= 50 ? Outcome.OK : null;
+    private static final OutcomeModel HEALTHY = (attempt, ageMs) -> ageMs >= 50 ? Outcome.OK : null;
 
-    /** Plays requests at a steady pace, the classes in turn. */
-    private static void play(FakeSidecar sidecar, double ms, double everyMs, Fleet fleet) {
+    /** Issues one request each {@code everyMs}, of each class in turn, and ends the attempts as the model says. */
+    private static void runLoad(FakeSidecar sidecar, double ms, double everyMs, OutcomeModel model) {
         int classes = sidecar.settings.classes().size();
-        double until = sidecar.now + ms;
-        for (int i = 0; sidecar.now < until; i++) {
+        double endMs = sidecar.now + ms;
+        for (int i = 0; sidecar.now < endMs; i++) {
             sidecar.request(i % classes);
-            for (double passed = 0; passed < everyMs; passed += TestSettings.TICK_MS) {
+            for (double elapsedMs = 0; elapsedMs < everyMs; elapsedMs += TestSettings.TICK_MS) {
                 sidecar.advance(TestSettings.TICK_MS);
                 for (FakeSidecar.SentAttempt attempt : sidecar.pendingAttempts()) {
-                    Outcome outcome = fleet.answer(attempt, sidecar.now - attempt.atMs);
+                    Outcome outcome = model.outcome(attempt, sidecar.now - attempt.atMs);
                     if (outcome != null) {
                         sidecar.end(attempt, outcome);
                     }
@@ -47,8 +47,8 @@
         }
     }
 
-    private static Fleet one(int upstream, Fleet its) {
-        return (attempt, ageMs) -> (attempt.upstream == upstream ? its : SOUND).answer(attempt, ageMs);
+    private static OutcomeModel onlyAt(int upstream, OutcomeModel faulty) {
+        return (attempt, ageMs) -> (attempt.upstream == upstream ? faulty : HEALTHY).outcome(attempt, ageMs);
     }
 
     private static long sentTo(FakeSidecar sidecar, int upstream, double sinceMs) {
@@ -60,85 +60,88 @@
     private static FakeSidecar sidecar(int upstreams) {
         FakeSidecar sidecar = new FakeSidecar(TestSettings.safe(), 5);
         sidecar.listReady(upstreams);
-        play(sidecar, 5000, 10, SOUND);
+        runLoad(sidecar, 5000, 10, HEALTHY);
         return sidecar;
     }
 
-    private static void assertSetAsideAndBack(Fleet trouble) {
+    private static void assertEjectedAndReadmitted(OutcomeModel fault) {
         FakeSidecar sidecar = sidecar(5);
-        play(sidecar, 1000, 10, one(2, trouble));
+        runLoad(sidecar, 1000, 10, onlyAt(2, fault));
         double later = sidecar.now;
-        play(sidecar, 8000, 10, one(2, trouble));
-        assertTrue(sentTo(sidecar, 2, later) <= 12, "only trials: " + sentTo(sidecar, 2, later));
+        runLoad(sidecar, 8000, 10, onlyAt(2, fault));
+        assertTrue(sentTo(sidecar, 2, later) <= 12, "trial attempts only: " + sentTo(sidecar, 2, later));
         assertTrue(sidecar.logs.stream().anyMatch(line -> line.startsWith("upstream 2 is set aside")));
-        play(sidecar, 15_000, 10, SOUND);
+        runLoad(sidecar, 15_000, 10, HEALTHY);
         long last = sentTo(sidecar, 2, sidecar.now - 5000);
-        assertTrue(last > 10, "back in the draw: " + last);
+        assertTrue(last > 10, "attempts after readmission: " + last);
         assertTrue(sidecar.logs.stream().anyMatch(line -> line.startsWith("upstream 2 answers again")));
         assertTrue(sidecar.served > 0.95 * (sidecar.served + sidecar.refused + sidecar.failed));
         assertEquals(List.of(), sidecar.violations);
     }
 
     @Test
-    void aSilentServerIsSetAsideAndComesBack() {
-        assertSetAsideAndBack((attempt, ageMs) -> null);
+    void anUnresponsiveUpstreamIsEjectedAndReadmitted() {
+        assertEjectedAndReadmitted((attempt, ageMs) -> null);
     }
 
     @Test
-    void aServerThatFailsAtOnceDrawsNoLoad() {
-        assertSetAsideAndBack((attempt, ageMs) -> Outcome.ERROR);
+    void anUpstreamThatFailsAtOnceIsEjectedAndReadmitted() {
+        assertEjectedAndReadmitted((attempt, ageMs) -> Outcome.ERROR);
     }
 
     @Test
-    void aServerOutOfReachIsSetAsideAndComesBack() {
-        assertSetAsideAndBack((attempt, ageMs) -> ageMs >= 100 ? Outcome.CONNECT_FAILED : null);
+    void anUnreachableUpstreamIsEjectedAndReadmitted() {
+        assertEjectedAndReadmitted((attempt, ageMs) -> ageMs >= 100 ? Outcome.CONNECT_FAILED : null);
     }
 
     @Test
-    void aServerThatRefusesIsSetAsideAndComesBack() {
-        assertSetAsideAndBack((attempt, ageMs) -> Outcome.REJECTED);
+    void anUpstreamThatRejectsIsEjectedAndReadmitted() {
+        assertEjectedAndReadmitted((attempt, ageMs) -> Outcome.REJECTED);
     }
 
     @Test
-    void whereAllRequestsAreUnsafeASilentServerIsTriedRarelyAndComesBack() {
-        // Without trials by unsafe requests a server that was silent once was out for good.
+    void whenAllRequestsAreUnsafeAnUnresponsiveUpstreamIsTriedRarelyAndReadmitted() {
+        // If unsafe requests were never sent as trials, an upstream ejected once would never be readmitted.
         FakeSidecar sidecar =
                 new FakeSidecar(TestSettings.settings(TestSettings.requestClass(Effect.UNSAFE, Group.ALL, 1)), 5);
         sidecar.listReady(5);
-        play(sidecar, 5000, 10, SOUND);
-        play(sidecar, 2000, 10, one(2, (attempt, ageMs) -> null));
+        runLoad(sidecar, 5000, 10, HEALTHY);
+        runLoad(sidecar, 2000, 10, onlyAt(2, (attempt, ageMs) -> null));
         double later = sidecar.now;
-        play(sidecar, 8000, 10, one(2, (attempt, ageMs) -> null));
-        assertTrue(sentTo(sidecar, 2, later) <= 6, "only trials: " + sentTo(sidecar, 2, later));
-        play(sidecar, 10_000, 10, SOUND);
+        runLoad(sidecar, 8000, 10, onlyAt(2, (attempt, ageMs) -> null));
+        assertTrue(sentTo(sidecar, 2, later) <= 6, "trial attempts only: " + sentTo(sidecar, 2, later));
+        runLoad(sidecar, 10_000, 10, HEALTHY);
         assertTrue(sentTo(sidecar, 2, sidecar.now - 3000) > 20);
         assertEquals(List.of(), sidecar.violations);
     }
 
     @Test
-    void aServerThatTurnsOneClassAwayIsSetAsideForThatClassAlone() {
+    void anUpstreamThatRejectsOneClassIsEjectedForThatClassAlone() {
         FakeSidecar sidecar = new FakeSidecar(
                 TestSettings.settings(
                         TestSettings.requestClass(Effect.SAFE, Group.ALL, 1),
                         TestSettings.requestClass(Effect.UNSAFE, Group.ALL, 1)),
                 5);
         sidecar.listReady(5);
-        play(sidecar, 5000, 10, SOUND);
-        Fleet choosy = (attempt, ageMs) -> attempt.upstream <= 2 && sidecar.classOf(attempt.request) == 1
-                ? Outcome.REJECTED
-                : SOUND.answer(attempt, ageMs);
-        play(sidecar, 1000, 10, choosy);
+        runLoad(sidecar, 5000, 10, HEALTHY);
+        OutcomeModel rejectsOneClass =
+                (attempt, ageMs) -> attempt.upstream <= 2 && sidecar.classOf(attempt.request) == 1
+                        ? Outcome.REJECTED
+                        : HEALTHY.outcome(attempt, ageMs);
+        runLoad(sidecar, 1000, 10, rejectsOneClass);
         double later = sidecar.now;
-        play(sidecar, 8000, 10, choosy);
-        assertTrue(sentTo(sidecar, 1, 2, later) <= 16, "only trials: " + sentTo(sidecar, 1, 2, later));
-        assertTrue(sentTo(sidecar, 0, 2, later) > 40, "the other class stays: " + sentTo(sidecar, 0, 2, later));
-        play(sidecar, 15_000, 10, SOUND);
-        assertTrue(sentTo(sidecar, 1, 2, sidecar.now - 5000) > 20, "back in the draw");
+        runLoad(sidecar, 8000, 10, rejectsOneClass);
+        assertTrue(sentTo(sidecar, 1, 2, later) <= 16, "trial attempts only: " + sentTo(sidecar, 1, 2, later));
+        assertTrue(
+                sentTo(sidecar, 0, 2, later) > 40,
+                "attempts of the other class go on: " + sentTo(sidecar, 0, 2, later));
+        runLoad(sidecar, 15_000, 10, HEALTHY);
+        assertTrue(sentTo(sidecar, 1, 2, sidecar.now - 5000) > 20, "attempts of the class after readmission");
         assertEquals(0, sidecar.refused + sidecar.failed);
         assertEquals(List.of(), sidecar.violations);
     }
 
-    /** Attempts of a class at the upstreams up to this one. */
+    /** Counts the attempts of a class at the upstreams with ids up to {@code lastUpstream}. */
     private static long sentTo(FakeSidecar sidecar, int requestClass, int lastUpstream, double sinceMs) {
         return sidecar.sent.stream()
                 .filter(s ->
@@ -147,11 +150,11 @@
     }
 
     @Test
-    void whenMostFailTheyAreStillTried() {
+    void whenMostUpstreamsFailTheyAreStillTried() {
         FakeSidecar sidecar = sidecar(5);
-        play(sidecar, 10_000, 20, (attempt, ageMs) -> Outcome.ERROR);
+        runLoad(sidecar, 10_000, 20, (attempt, ageMs) -> Outcome.ERROR);
         double from = sidecar.now;
-        play(sidecar, 3000, 20, SOUND);
+        runLoad(sidecar, 3000, 20, HEALTHY);
         assertTrue(sidecar.sent.stream()
                         .filter(s -> s.atMs >= from && s.outcome == Outcome.OK)
                         .count()
@@ -160,97 +163,98 @@
     }
 
     @Test
-    void aStuckAttemptIsCopiedOnlyWhereAllowed() {
-        for (boolean copies : new boolean[] {true, false}) {
+    void aSlowAttemptIsHedgedOnlyWhereAllowed() {
+        for (boolean hedging : new boolean[] {true, false}) {
             FakeSidecar sidecar = new FakeSidecar(
                     TestSettings.settings(
                             1,
-                            new Limits(4, copies, true, false, 0),
+                            new Limits(4, hedging, true, false, 0),
                             false,
                             List.of(),
                             TestSettings.requestClass(Effect.SAFE, Group.ALL, 1)),
                     5);
             sidecar.listReady(5);
-            play(sidecar, 5000, 10, SOUND);
+            runLoad(sidecar, 5000, 10, HEALTHY);
             double from = sidecar.now;
-            play(sidecar, 2000, 10, one(2, (attempt, ageMs) -> null));
-            boolean copied = sidecar.sent.stream().anyMatch(s -> s.atMs >= from && s.number > 0 && s.atMs < from + 500);
-            assertEquals(copies, copied);
+            runLoad(sidecar, 2000, 10, onlyAt(2, (attempt, ageMs) -> null));
+            boolean hedged = sidecar.sent.stream().anyMatch(s -> s.atMs >= from && s.number > 0 && s.atMs < from + 500);
+            assertEquals(hedging, hedged);
             assertEquals(List.of(), sidecar.violations);
         }
     }
 
     @Test
-    void slowServersGetFewerAttemptsAtATimeAndRecover() {
+    void slowUpstreamsGetFewerConcurrentAttemptsAndRecover() {
         FakeSidecar sidecar = sidecar(5);
-        play(sidecar, 10_000, 10, (attempt, ageMs) -> ageMs >= 400 ? Outcome.OK : null);
+        runLoad(sidecar, 10_000, 10, (attempt, ageMs) -> ageMs >= 400 ? Outcome.OK : null);
         assertTrue(
                 sidecar.pendingAttempts().size() <= 10,
-                "few out at slow servers: " + sidecar.pendingAttempts().size());
+                "concurrent attempts at slow upstreams: "
+                        + sidecar.pendingAttempts().size());
         assertTrue(sidecar.refused > 0);
-        play(sidecar, 20_000, 10, SOUND);
+        runLoad(sidecar, 20_000, 10, HEALTHY);
         int refused = sidecar.refused;
-        play(sidecar, 5000, 10, SOUND);
+        runLoad(sidecar, 5000, 10, HEALTHY);
         assertEquals(refused, sidecar.refused);
         assertTrue(sidecar.logs.contains("all members full: refusing requests"));
         assertTrue(sidecar.logs.contains("nothing refused any more"));
     }
 
     @Test
-    void brokenConnectionsAreNotTakenForAQueue() {
+    void connectionResetsDoNotLowerTheConcurrencyLimit() {
         FakeSidecar sidecar =
                 new FakeSidecar(TestSettings.settings(TestSettings.requestClass(Effect.UNSAFE, Group.ALL, 1)), 5);
         sidecar.listReady(1);
-        play(sidecar, 5000, 50, SOUND);
-        int together = 6;
-        for (int i = 0; i < together; i++) {
+        runLoad(sidecar, 5000, 50, HEALTHY);
+        int concurrent = 6;
+        for (int i = 0; i < concurrent; i++) {
             sidecar.request(0);
         }
-        assertEquals(together, sidecar.pendingAttempts().size(), "a sound server has room");
+        assertEquals(concurrent, sidecar.pendingAttempts().size(), "a healthy upstream takes all of them");
         sidecar.pendingAttempts().forEach(attempt -> sidecar.end(attempt, Outcome.RESET));
-        play(sidecar, 100, 5, (attempt, ageMs) -> Outcome.RESET);
-        for (int i = 0; i < together; i++) {
+        runLoad(sidecar, 100, 5, (attempt, ageMs) -> Outcome.RESET);
+        for (int i = 0; i < concurrent; i++) {
             sidecar.request(0);
         }
-        assertEquals(together, sidecar.pendingAttempts().size(), "room as before");
+        assertEquals(concurrent, sidecar.pendingAttempts().size(), "the limit is unchanged");
         assertEquals(List.of(), sidecar.violations);
     }
 
     @Test
-    void overloadShedsRepeatsFirst() {
+    void retriesAreShedFirstUnderOverload() {
         FakeSidecar sidecar = new FakeSidecar(TestSettings.safe(), 5);
         sidecar.listReady(2);
-        play(sidecar, 5000, 20, SOUND);
-        List<Integer> first = new ArrayList<>();
-        List<Integer> repeats = new ArrayList<>();
+        runLoad(sidecar, 5000, 20, HEALTHY);
+        List<Integer> firstTries = new ArrayList<>();
+        List<Integer> retries = new ArrayList<>();
         for (int i = 0; i < 1500; i++) {
             for (int k = 0; k < 3; k++) {
-                first.add(sidecar.request(0, 0, 4000, false));
-                repeats.add(sidecar.request(0, 0, 4000, true));
+                firstTries.add(sidecar.request(0, 0, 4000, false));
+                retries.add(sidecar.request(0, 0, 4000, true));
             }
             sidecar.advance(20);
             List<FakeSidecar.SentAttempt> out = sidecar.pendingAttempts();
-            for (FakeSidecar.SentAttempt attempt :
-                    out.subList(0, Math.min(3, out.size()))) { // three of the six that came
+            // Three of the six that arrived.
+            for (FakeSidecar.SentAttempt attempt : out.subList(0, Math.min(3, out.size()))) {
                 sidecar.end(attempt, Outcome.OK);
             }
         }
         assertTrue(
-                part(sidecar, first) > 2 * part(sidecar, repeats),
-                part(sidecar, first) + ", " + part(sidecar, repeats));
+                servedFraction(sidecar, firstTries) > 2 * servedFraction(sidecar, retries),
+                servedFraction(sidecar, firstTries) + ", " + servedFraction(sidecar, retries));
     }
 
     @Test
-    void aFleetThatIsSlowForGoodIsUsedAgainInBoundedTime() {
+    void permanentlySlowUpstreamsAreUsedAgainInBoundedTime() {
         FakeSidecar sidecar = sidecar(5);
-        Fleet slow = (attempt, ageMs) -> ageMs >= 200 ? Outcome.OK : null;
-        play(sidecar, 60_000, 20, slow);
+        OutcomeModel slow = (attempt, ageMs) -> ageMs >= 200 ? Outcome.OK : null;
+        runLoad(sidecar, 60_000, 20, slow);
         int served = sidecar.served;
-        play(sidecar, 5000, 20, slow);
-        assertTrue(sidecar.served - served > 200, "of 250 served: " + (sidecar.served - served));
+        runLoad(sidecar, 5000, 20, slow);
+        assertTrue(sidecar.served - served > 200, "served of 250 requests: " + (sidecar.served - served));
     }
 
-    private static double part(FakeSidecar sidecar, List<Integer> requests) {
+    private static double servedFraction(FakeSidecar sidecar, List<Integer> requests) {
         return requests.stream()
                         .filter(id -> sidecar.attemptsOf(id).stream().anyMatch(s -> s.outcome == Outcome.OK))
                         .count()
@@ -258,29 +262,29 @@
     }
 
     @Test
-    void theWorthierClassIsServedFirstUnderOverload() {
+    void theClassWithTheHigherWorthIsServedFirstUnderOverload() {
         Settings settings = TestSettings.settings(
                 TestSettings.requestClass(Effect.SAFE, Group.ALL, 1),
                 TestSettings.requestClass(Effect.SAFE, Group.ALL, 5));
         FakeSidecar sidecar = new FakeSidecar(settings, 5);
         sidecar.listReady(2);
-        play(sidecar, 5000, 20, SOUND);
+        runLoad(sidecar, 5000, 20, HEALTHY);
         double from = sidecar.now;
-        play(sidecar, 10_000, 5, (attempt, ageMs) -> ageMs >= 150 ? Outcome.OK : null);
+        runLoad(sidecar, 10_000, 5, (attempt, ageMs) -> ageMs >= 150 ? Outcome.OK : null);
         int[] sent = new int[2];
         sidecar.sent.stream().filter(s -> s.atMs > from + 2000).forEach(s -> sent[(s.request + 1) % 2]++);
         assertTrue(sent[1] > 2 * sent[0], sent[1] + " and " + sent[0]);
     }
 
     @Test
-    void aColdServerGetsItsPartAndSidecarsTogetherStayInTheBudget() {
+    void aColdUpstreamGetsAReducedShareAcrossSidecars() {
         List<FakeSidecar> sidecars = new ArrayList<>();
         for (int i = 0; i < 3; i++) {
             Settings settings = TestSettings.settings(
                     3, LIMITS, false, List.of(), TestSettings.requestClass(Effect.SAFE, Group.ALL, 1));
             FakeSidecar sidecar = new FakeSidecar(settings, i);
             sidecar.listReady(5);
-            play(sidecar, 5000, 10, SOUND);
+            runLoad(sidecar, 5000, 10, HEALTHY);
             sidecar.updateList(ListKind.DELTA, FakeSidecar.upstream(9, Status.READY, sidecar.now - 100));
             sidecars.add(sidecar);
         }
@@ -288,20 +292,21 @@
         double warmPerS = 0;
         double coldPerS = 0;
         for (FakeSidecar sidecar : sidecars) {
-            play(sidecar, 2000, 10, SOUND);
+            runLoad(sidecar, 2000, 10, HEALTHY);
             coldPerS += sentTo(sidecar, 9, from) / 2.0;
             warmPerS += sentTo(sidecar, 1, from) / 2.0;
         }
-        // A quarter warm at the start, and the fleet far from full: about a third of a warm server's rate.
+        // Slow start begins at a quarter of the capacity and the warm upstreams have room, which makes about a third of
+        // the rate of a warm upstream.
         assertTrue(coldPerS > 0.1 * warmPerS && coldPerS < 0.7 * warmPerS, coldPerS + " of " + warmPerS);
         for (FakeSidecar sidecar : sidecars) {
-            play(sidecar, 20_000, 10, SOUND);
-            assertTrue(sentTo(sidecar, 9, sidecar.now - 3000) > 20, "warm now");
+            runLoad(sidecar, 20_000, 10, HEALTHY);
+            assertTrue(sentTo(sidecar, 9, sidecar.now - 3000) > 20, "a warm share after slow start");
         }
     }
 
     @Test
-    void anEmptyListHoldsThenRefusesAndServesWhenServersCome() {
+    void requestsWaitOnAnEmptyListThenAreRefusedAndAreServedOnceUpstreamsAreListed() {
         FakeSidecar sidecar = new FakeSidecar(TestSettings.safe(), 5);
         sidecar.updateList(ListKind.CACHED);
         int early = sidecar.request(0);
@@ -317,12 +322,12 @@
     }
 
     @Test
-    void fewSidecarsCoverAllServersAndManyHoldSmallSubsets() {
+    void fewSidecarsUseAllUpstreamsAndManyUseSmallSubsets() {
         assertEquals(
                 14, sidecar(14).sent.stream().map(s -> s.upstream).distinct().count());
         FakeSidecar oneOfMany = oneOf(100, TestSettings.requestClass(Effect.SAFE, Group.ALL, 1));
         oneOfMany.listReady(60);
-        play(oneOfMany, 10_000, 10, SOUND);
+        runLoad(oneOfMany, 10_000, 10, HEALTHY);
         assertEquals(10, oneOfMany.sent.stream().map(s -> s.upstream).distinct().count());
     }
 
@@ -331,7 +336,7 @@
     }
 
     @Test
-    void oneRequestInManySecondsIsServedAndLeavesNoTimers() {
+    void rareRequestsAreServedAndSetNoTimersWhileIdle() {
         FakeSidecar sidecar = new FakeSidecar(TestSettings.safe(), 5);
         sidecar.listReady(3);
         for (int i = 0; i < 20; i++) {
@@ -341,20 +346,21 @@
             assertTrue(sidecar.ended(request));
             sidecar.advance(30_000);
         }
-        assertTrue(sidecar.actions.size() < 20 * 4, "idle sidecars set no timers: " + sidecar.actions.size());
+        assertTrue(
+                sidecar.actions.size() < 20 * 4, "an idle sidecar sets no timers; actions: " + sidecar.actions.size());
     }
 
     @Test
-    void aRestartedServerBeginsAnew() {
+    void aRestartedUpstreamGoesThroughSlowStartAgain() {
         FakeSidecar sidecar = sidecar(3);
         sidecar.updateList(ListKind.DELTA, FakeSidecar.upstream(1, Status.READY, sidecar.now));
         double from = sidecar.now;
-        play(sidecar, 1000, 10, SOUND);
-        assertTrue(sentTo(sidecar, 1, from) < 0.7 * sentTo(sidecar, 2, from), "cold again");
+        runLoad(sidecar, 1000, 10, HEALTHY);
+        assertTrue(sentTo(sidecar, 1, from) < 0.7 * sentTo(sidecar, 2, from), "a reduced share after the restart");
     }
 
     @Test
-    void wrongArgumentsAreRejectedWithAMessage() {
+    void invalidArgumentsAreRejectedWithAMessage() {
         assertMessage("cold share", () -> new Balancer.Contract(0, 1, 1, 1, 1));
         assertMessage("at least one request class", () -> TestSettings.settings(new RequestClass[0]));
         assertMessage("at least one attempt", () -> new Limits(0, true, true, true, 0));
--- a/sidecar/src/test/java/gradehub/FakeSidecar.java
+++ b/sidecar/src/test/java/gradehub/FakeSidecar.java
@@ -18,12 +18,12 @@
 import java.util.TreeMap;
 
 /**
- * Stands in for a sidecar: passes events to a balancer, carries its timers and time-outs out, and checks every action
- * against the rules. What upstreams answer is for the test to say.
+ * Test double of a sidecar: passes events to a balancer, fires its timers and the timeouts of its attempts, and checks
+ * every action against the rules of {@link Balancer}. The test sets the outcome of each attempt.
  */
 final class FakeSidecar implements Balancer.Actions {
 
-    /** Makes the balancer under test. */
+    /** Creates the balancer under test. */
     interface Factory {
         Balancer create(Settings settings, long seed, Balancer.Actions actions);
     }
@@ -45,14 +45,14 @@
         }
     }
 
-    private static final class OpenRequest {
-        final RequestClass spec;
+    private static final class RequestState {
+        final RequestClass requestClass;
         final double deadlineMs;
         final List<SentAttempt> attempts = new ArrayList<>();
         boolean ended;
 
-        OpenRequest(RequestClass spec, double deadlineMs) {
-            this.spec = spec;
+        RequestState(RequestClass requestClass, double deadlineMs) {
+            this.requestClass = requestClass;
             this.deadlineMs = deadlineMs;
         }
 
@@ -80,7 +80,7 @@
     int failed;
     int served;
     private int nextRequest = 1;
-    private final Map<Integer, OpenRequest> requests = new TreeMap<>();
+    private final Map<Integer, RequestState> requests = new TreeMap<>();
     private final Map<Integer, Upstream> listed = new HashMap<>();
     private final Map<Integer, Double> unavailableSinceMs = new HashMap<>();
     private final PriorityQueue<Timer> timers = new PriorityQueue<>((a, b) -> Double.compare(a.atMs, b.atMs));
@@ -95,7 +95,7 @@
         balancer.start(now);
     }
 
-    // Events.
+    // Events passed to the balancer.
 
     void updateList(ListKind kind, Upstream... entries) {
         if (kind == ListKind.FULL || kind == ListKind.CACHED) {
@@ -112,7 +112,7 @@
         balancer.upstreams(now, kind, List.of(entries));
     }
 
-    /** A list of this many ready upstreams with ids from 1. */
+    /** Passes a full list of {@code count} ready upstreams, with ids from 1. */
     void listReady(int count) {
         Upstream[] entries = new Upstream[count];
         for (int i = 0; i < count; i++) {
@@ -135,17 +135,17 @@
 
     int request(int requestClass, int tenant, double timeoutMs, boolean repeat, double costMs) {
         int id = nextRequest++;
-        requests.put(id, new OpenRequest(settings.classes().get(requestClass), now + timeoutMs));
+        requests.put(id, new RequestState(settings.classes().get(requestClass), now + timeoutMs));
         balancer.request(now, new Request(id, requestClass, tenant, timeoutMs, repeat, costMs));
         return id;
     }
 
     void end(SentAttempt attempt, Outcome outcome) {
-        OpenRequest open = requests.get(attempt.request);
+        RequestState state = requests.get(attempt.request);
         attempt.outcome = outcome;
-        boolean done = open.ended;
-        if (outcome == Outcome.OK && !open.ended) {
-            open.ended = true;
+        boolean done = state.ended;
+        if (outcome == Outcome.OK && !state.ended) {
+            state.ended = true;
             served++;
             done = true;
         }
@@ -166,34 +166,35 @@
         balancer.clientLeft(now, request);
     }
 
-    /** Lets time pass, with the timers and time-outs that fall due. */
+    /** Advances the clock and fires the timers and timeouts that fall due. */
     void advance(double ms) {
-        double until = now + ms;
+        double endMs = now + ms;
         while (true) {
-            SentAttempt late = null;
+            SentAttempt nextToExpire = null;
             for (SentAttempt attempt : pendingAttempts()) {
-                if (late == null || attempt.atMs + attempt.timeoutMs < late.atMs + late.timeoutMs) {
-                    late = attempt;
+                if (nextToExpire == null
+                        || attempt.atMs + attempt.timeoutMs < nextToExpire.atMs + nextToExpire.timeoutMs) {
+                    nextToExpire = attempt;
                 }
             }
-            double lateMs = late == null ? Double.MAX_VALUE : late.atMs + late.timeoutMs;
+            double expiryMs = nextToExpire == null ? Double.MAX_VALUE : nextToExpire.atMs + nextToExpire.timeoutMs;
             double timerMs = timers.isEmpty() ? Double.MAX_VALUE : timers.peek().atMs;
-            if (Math.min(lateMs, timerMs) > until) {
+            if (Math.min(expiryMs, timerMs) > endMs) {
                 break;
             }
-            now = Math.max(now, Math.min(lateMs, timerMs));
-            if (lateMs <= timerMs) {
-                end(late, Outcome.TIMEOUT);
+            now = Math.max(now, Math.min(expiryMs, timerMs));
+            if (expiryMs <= timerMs) {
+                end(nextToExpire, Outcome.TIMEOUT);
             } else {
                 balancer.timer(now, timers.poll().token);
             }
             checkDeadlines();
         }
-        now = until;
+        now = endMs;
         checkDeadlines();
     }
 
-    // What can be asked of it.
+    // State that tests read.
 
     List<SentAttempt> pendingAttempts() {
         return sent.stream().filter(attempt -> attempt.outcome == null).toList();
@@ -208,7 +209,7 @@
     }
 
     int classOf(int request) {
-        return settings.classes().indexOf(requests.get(request).spec);
+        return settings.classes().indexOf(requests.get(request).requestClass);
     }
 
     boolean ended(int request) {
@@ -216,75 +217,75 @@
     }
 
     long openRequests() {
-        return requests.values().stream().filter(open -> !open.ended).count();
+        return requests.values().stream().filter(state -> !state.ended).count();
     }
 
-    // Actions, each checked.
+    // Actions of the balancer, checked against the rules.
 
     @Override
     public void send(int request, int upstream, double timeoutMs) {
         actions.add("send " + request + " to " + upstream + " for " + timeoutMs);
-        OpenRequest open = openRequest(request, "send");
-        if (open == null) {
+        RequestState state = openRequest(request, "send");
+        if (state == null) {
             return;
         }
-        RequestClass spec = open.spec;
+        RequestClass requestClass = state.requestClass;
         if (!listed.containsKey(upstream)) {
-            violations.add("sent to upstream " + upstream + " that was never listed");
+            violations.add("sent to upstream " + upstream + ", which was never listed");
         }
         if (unavailableSinceMs.containsKey(upstream)) {
-            violations.add("drain: sent to upstream " + upstream + " that drains or is gone");
+            violations.add("drain: sent to upstream " + upstream + ", which is draining or was removed from the list");
         }
-        if (open.attempts.size() >= settings.limits().maxAttempts()) {
-            violations.add("attempts: more than allowed");
+        if (state.attempts.size() >= settings.limits().maxAttempts()) {
+            violations.add("attempts: more than the limit");
         }
-        if (open.hasPendingAttempt() && !settings.limits().secondCopies()) {
-            violations.add("copies: two attempts out");
+        if (state.hasPendingAttempt() && !settings.limits().secondCopies()) {
+            violations.add("copies: two concurrent attempts of one request");
         }
-        for (SentAttempt before : open.attempts) {
-            if (!mayHaveRun(before)) {
+        for (SentAttempt earlier : state.attempts) {
+            if (!mayHaveRun(earlier)) {
                 continue;
             }
-            if (spec.effect() == Effect.UNSAFE) {
-                violations.add("repeat: unsafe request sent again");
+            if (requestClass.effect() == Effect.UNSAFE) {
+                violations.add("repeat: unsafe request sent again after an attempt that may have run");
             }
-            if (spec.effect() == Effect.KEYED
-                    && (now - before.atMs >= spec.windowMs()
-                            || !sameGroup(spec.group(), listed.get(before.upstream), listed.get(upstream)))) {
-                violations.add("repeat: keyed request sent outside its group or window");
+            if (requestClass.effect() == Effect.KEYED
+                    && (now - earlier.atMs >= requestClass.windowMs()
+                            || !sameGroup(requestClass.group(), listed.get(earlier.upstream), listed.get(upstream)))) {
+                violations.add("repeat: keyed request sent again outside its group or window");
             }
         }
-        SentAttempt attempt = new SentAttempt(request, open.attempts.size(), upstream, now, timeoutMs);
-        if (timeoutMs <= 0 || now + timeoutMs > open.deadlineMs) {
-            violations.add("lost: attempt may outlast the client");
+        SentAttempt attempt = new SentAttempt(request, state.attempts.size(), upstream, now, timeoutMs);
+        if (timeoutMs <= 0 || now + timeoutMs > state.deadlineMs) {
+            violations.add("lost: attempt timeout is not positive or ends after the deadline");
         }
-        open.attempts.add(attempt);
+        state.attempts.add(attempt);
         sent.add(attempt);
     }
 
     @Override
     public void refuse(int request, double retryAfterMs) {
         actions.add("refuse " + request);
-        OpenRequest open = openRequest(request, "refuse");
-        if (open == null) {
+        RequestState state = openRequest(request, "refuse");
+        if (state == null) {
             return;
         }
-        boolean harmless = open.spec.effect() == Effect.SAFE
-                || !open.mayHaveRun()
-                || open.spec.effect() == Effect.KEYED && open.spec.group() == Group.ALL;
-        if (!harmless) {
-            violations.add("repeat: refused what may have run");
+        boolean mayRefuse = state.requestClass.effect() == Effect.SAFE
+                || !state.mayHaveRun()
+                || state.requestClass.effect() == Effect.KEYED && state.requestClass.group() == Group.ALL;
+        if (!mayRefuse) {
+            violations.add("repeat: refused a request that may have run");
         }
-        open.ended = true;
+        state.ended = true;
         refused++;
     }
 
     @Override
     public void fail(int request) {
         actions.add("fail " + request);
-        OpenRequest open = openRequest(request, "fail");
-        if (open != null) {
-            open.ended = true;
+        RequestState state = openRequest(request, "fail");
+        if (state != null) {
+            state.ended = true;
             failed++;
         }
     }
@@ -293,7 +294,7 @@
     public void cancel(int request, int attempt) {
         actions.add("cancel " + request + "/" + attempt);
         if (!settings.limits().cancel()) {
-            violations.add("cancel: not allowed");
+            violations.add("cancel: not allowed by the limits");
         }
     }
 
@@ -318,7 +319,7 @@
     @Override
     public void probe(int upstream) {
         if (!settings.limits().probes()) {
-            violations.add("probe: not allowed");
+            violations.add("probe: not allowed by the limits");
         }
         probed.add(upstream);
     }
@@ -333,20 +334,20 @@
         actions.add("close " + upstream);
     }
 
-    private OpenRequest openRequest(int request, String what) {
-        OpenRequest open = requests.get(request);
-        if (open == null || open.ended) {
-            violations.add("lost: " + what + " for request " + request + " that is over or unknown");
+    private RequestState openRequest(int request, String action) {
+        RequestState state = requests.get(request);
+        if (state == null || state.ended) {
+            violations.add("lost: " + action + " for request " + request + ", which has ended or is unknown");
             return null;
         }
-        return open;
+        return state;
     }
 
     private void checkDeadlines() {
-        requests.forEach((id, open) -> {
-            if (!open.ended && now > open.deadlineMs) {
-                violations.add("lost: request " + id + " not answered in time");
-                open.ended = true;
+        requests.forEach((id, state) -> {
+            if (!state.ended && now > state.deadlineMs) {
+                violations.add("lost: request " + id + " not answered before its deadline");
+                state.ended = true;
             }
         });
     }
--- a/sidecar/src/test/java/gradehub/LowTraffic.java
+++ b/sidecar/src/test/java/gradehub/LowTraffic.java
@@ -9,7 +9,7 @@
 import gradehub.Balancer.Settings;
 import java.util.List;
 
-/** TestSettings of sidecars that are many, so that each sees little. */
+/** Settings and sidecars for a deployment of many sidecars, each with few requests. */
 final class LowTraffic {
 
     static final int SIDECARS = 300;
@@ -19,14 +19,19 @@
     private LowTraffic() {}
 
     static Settings settings(
-            int sidecars, boolean marked, Limits limits, boolean reportsOnProbe, Goal goal, RequestClass... classes) {
+            int sidecars,
+            boolean retriesMarked,
+            Limits limits,
+            boolean reportsOnProbe,
+            Goal goal,
+            RequestClass... classes) {
         Settings base = TestSettings.settings(sidecars, limits, false, List.of(), classes);
         return new Settings(
                 base.classes(),
                 List.of(),
                 sidecars,
                 false,
-                marked,
+                retriesMarked,
                 base.tickMs(),
                 base.overShareWorth(),
                 reportsOnProbe ? List.of("active") : List.of(),
@@ -36,10 +41,11 @@
                 goal);
     }
 
-    static FakeSidecar sidecar(boolean marked, RequestClass... classes) {
-        return new FakeSidecar(settings(SIDECARS, marked, LIMITS, false, new Goal(1, 0, 0), classes), 7);
+    static FakeSidecar sidecar(boolean retriesMarked, RequestClass... classes) {
+        return new FakeSidecar(settings(SIDECARS, retriesMarked, LIMITS, false, new Goal(1, 0, 0), classes), 7);
     }
 
+    /** Lets {@code ms} pass, then answers the last attempt unless it has ended. */
     static void serve(FakeSidecar sidecar, double ms) {
         FakeSidecar.SentAttempt attempt = sidecar.lastAttempt();
         sidecar.advance(ms);
--- a/sidecar/src/test/java/gradehub/LowTrafficProbeTest.java
+++ b/sidecar/src/test/java/gradehub/LowTrafficProbeTest.java
@@ -13,30 +13,32 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Probes before requests, where sidecars are many and each sees little. */
+/** Probes sent before requests in a deployment of many sidecars, each with few requests. */
 class LowTrafficProbeTest {
 
-    private static FakeSidecar asking() {
+    private static FakeSidecar probing() {
         FakeSidecar sidecar = new FakeSidecar(
                 settings(SIDECARS, true, new Limits(4, true, true, true, 0), true, new Goal(1, 0, 0), SAFE), 7);
         sidecar.listReady(2);
         return sidecar;
     }
 
-    /** Answers the probes that are out; upstream 1 has many requests in hand. */
-    private static void answerProbes(FakeSidecar sidecar, Outcome first) {
+    /** Answers all pending probes; upstream 1 reports many requests in progress and ends its probe as given. */
+    private static void answerProbes(FakeSidecar sidecar, Outcome outcomeOfFirst) {
         while (!sidecar.probed.isEmpty()) {
             int upstream = sidecar.probed.remove(0);
             sidecar.balancer.probeEnded(
-                    sidecar.now, upstream, upstream == 1 ? first : Outcome.OK, 1, new double[] {upstream == 1 ? 30 : 0
+                    sidecar.now, upstream, upstream == 1 ? outcomeOfFirst : Outcome.OK, 1, new double[] {
+                        upstream == 1 ? 30 : 0
                     });
         }
     }
 
     @Test
-    void theServerDrawnIsAskedAndLeftOutWhileItIsCrowded() {
-        // Incident i1d6ed3: sidecars that saw no queue sent into servers that held several requests each.
-        FakeSidecar sidecar = asking();
+    void theSelectedUpstreamIsProbedAndSkippedWhileItIsLoaded() {
+        // Incident i1d6ed3: sidecars that saw no queue themselves sent to upstreams that already had several requests
+        // each in progress.
+        FakeSidecar sidecar = probing();
         for (int i = 0; i < 40; i++) {
             int request = sidecar.request(0);
             answerProbes(sidecar, Outcome.OK);
@@ -47,9 +49,9 @@
     }
 
     @Test
-    void aServerOutOfReachIsLeftOutAndAskedForUntilItAnswers() {
-        FakeSidecar sidecar = asking();
-        boolean back = false;
+    void anUnreachableUpstreamIsSkippedAndProbedUntilItAnswers() {
+        FakeSidecar sidecar = probing();
+        boolean readmitted = false;
         for (int i = 0; i < 60; i++) {
             sidecar.request(0);
             answerProbes(sidecar, Outcome.CONNECT_FAILED);
@@ -62,15 +64,15 @@
             while (!sidecar.probed.isEmpty()) {
                 sidecar.balancer.probeEnded(sidecar.now, sidecar.probed.remove(0), Outcome.OK, 1, new double[] {0});
             }
-            back |= sidecar.lastAttempt().upstream == 1;
+            readmitted |= sidecar.lastAttempt().upstream == 1;
             serve(sidecar, 100);
         }
-        assertTrue(back);
+        assertTrue(readmitted);
     }
 
     @Test
-    void aProbeThatIsNeverAnsweredLosesNoRequest() {
-        FakeSidecar sidecar = asking();
+    void anUnansweredProbeLosesNoRequest() {
+        FakeSidecar sidecar = probing();
         int request = sidecar.request(0);
         sidecar.advance(1100);
         assertTrue(sidecar.ended(request) || !sidecar.attemptsOf(request).isEmpty());
--- a/sidecar/src/test/java/gradehub/LowTrafficTest.java
+++ b/sidecar/src/test/java/gradehub/LowTrafficTest.java
@@ -22,39 +22,41 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Failures found where sidecars are many and each sees little: every test fails without the answer to it. */
+/** Regression tests for faults found in deployments of many sidecars, each with few requests. */
 class LowTrafficTest {
 
     @Test
-    void aLaterTryWhoseAimHasPassedIsRefusedAtOnce() {
-        // Incident i8eec8b: late tries were sent on, could earn nothing, and fed the jam.
+    void aRetryAfterItsLatencyTargetIsRefusedAtOnce() {
+        // Incident i8eec8b: client retries past their latency target were sent, scored nothing and prolonged the
+        // overload.
         FakeSidecar sidecar = sidecar(false, SAFE);
         sidecar.listReady(3);
         for (int i = 0; i < 5; i++) {
             sidecar.request(0, 0, 2500 + i, false);
             serve(sidecar, 50);
         }
-        leaves(sidecar);
+        startAndDisconnect(sidecar);
         sidecar.advance(800);
-        leaves(sidecar);
+        startAndDisconnect(sidecar);
         sidecar.advance(300);
         int sent = sidecar.sent.size();
-        int late = sidecar.request(0, 0, 2900, false); // 1,100 of 4,000 ms are gone, and the aim is 1,000
+        int late = sidecar.request(0, 0, 2900, false); // 1,100 of 4,000 ms have passed; the target is 1,000
         assertTrue(sidecar.ended(late));
         assertEquals(sent, sidecar.sent.size());
-        int early = sidecar.request(0, 0, 3700, false); // longer than a first try, yet a later one: 300 ms are gone
+        // More time left than the first tries stated, but a retry all the same: 300 ms have passed.
+        int early = sidecar.request(0, 0, 3700, false);
         assertEquals(1, sidecar.attemptsOf(early).size());
         assertEquals(700, sidecar.lastAttempt().timeoutMs, 3 * TestSettings.TICK_MS);
     }
 
-    /** A first try that its client gives up at once, perhaps to come again. */
-    private static void leaves(FakeSidecar sidecar) {
+    /** Starts a first try whose client disconnects at once and may retry. */
+    private static void startAndDisconnect(FakeSidecar sidecar) {
         sidecar.disconnectClient(sidecar.request(0, 0, 2500, false));
     }
 
-    /** A crowd with less patience than most was taken for repeats whose aim has passed, and refused as a whole. */
+    /** First tries with short timeouts were taken for retries past their latency target, and all were refused. */
     @Test
-    void littlePatienceIsNoRepeatWhereNoEarlierTryWentUnserved() {
+    void aShortTimeoutIsNoRetryWhereNoEarlierTryWentUnserved() {
         FakeSidecar sidecar = sidecar(false, SAFE);
         sidecar.listReady(3);
         for (int i = 0; i < 20; i++) {
@@ -71,8 +73,9 @@
     }
 
     @Test
-    void patienceIsUsualClassByClass() {
-        // A class that must not run twice states its whole deadline; beside it others' first tries looked late.
+    void usualTimeoutsAreTrackedPerClass() {
+        // A class that must not run twice states its whole deadline as its timeout; beside it the first tries of other
+        // classes looked like retries.
         FakeSidecar sidecar = sidecar(false, SAFE, TestSettings.requestClass(Effect.UNSAFE, Group.ALL, 1));
         sidecar.listReady(3);
         for (int i = 0; i < 20; i++) {
@@ -86,7 +89,7 @@
     }
 
     @Test
-    void markedRepeatsTellTheTimeGoneToo() {
+    void theElapsedTimeOfMarkedRetriesIsInferredToo() {
         FakeSidecar sidecar = sidecar(true, SAFE);
         sidecar.listReady(3);
         assertTrue(sidecar.ended(sidecar.request(0, 0, 2500, true)));
@@ -94,7 +97,7 @@
     }
 
     @Test
-    void whatIsMoreWorkThanTheTimeLeftIsRefusedAtOnce() {
+    void aRequestThatCostsMoreThanTheTimeLeftIsRefusedAtOnce() {
         FakeSidecar sidecar = sidecar(true, SAFE);
         sidecar.listReady(3);
         assertTrue(sidecar.ended(sidecar.request(0, 0, 4000, false, 1500)));
@@ -103,7 +106,7 @@
     }
 
     @Test
-    void oneAttemptThatIsSlowByChanceSetsNoServerAside() {
+    void oneSlowAttemptEjectsNoUpstream() {
         FakeSidecar sidecar = sidecar(true, SAFE);
         sidecar.listReady(3);
         for (int i = 0; i < 10; i++) {
@@ -111,28 +114,29 @@
             serve(sidecar, 50);
         }
         sidecar.request(0);
-        sidecar.advance(250); // five medians
+        sidecar.advance(250); // 5 times the median latency
         assertEquals(List.of(), sidecar.logs);
-        sidecar.advance(350); // twelve
+        sidecar.advance(350); // 12 times
         assertTrue(sidecar.logs.get(0).contains("is set aside, silent for"));
     }
 
     @Test
-    void sharesLearnFromOneRequestASecond() {
+    void sharesAdaptAtOneRequestPerSecond() {
         FakeSidecar sidecar = new FakeSidecar(settings(1, true, LIMITS, false, new Goal(1, 0, 0), SAFE), 7);
         sidecar.listReady(2);
         for (int i = 0; i < 120; i++) {
             sidecar.request(0);
-            double tookMs = sidecar.lastAttempt().upstream == 1 ? 100 : 300;
-            serve(sidecar, tookMs);
-            sidecar.advance(1000 - tookMs);
+            double latencyMs = sidecar.lastAttempt().upstream == 1 ? 100 : 300;
+            serve(sidecar, latencyMs);
+            sidecar.advance(1000 - latencyMs);
         }
-        long quick = sidecar.sent.stream().skip(60).filter(s -> s.upstream == 1).count();
-        assertTrue(quick > 38, "of 60 to the quicker server: " + quick);
+        long toFaster =
+                sidecar.sent.stream().skip(60).filter(s -> s.upstream == 1).count();
+        assertTrue(toFaster > 38, "of 60 to the faster upstream: " + toFaster);
     }
 
     @Test
-    void sharesStartAtTheListedSize() {
+    void sharesStartAtTheListedWeight() {
         FakeSidecar sidecar = sidecar(true, SAFE);
         sidecar.updateList(
                 ListKind.FULL,
@@ -142,13 +146,13 @@
             sidecar.request(0);
             serve(sidecar, 1);
         }
-        long large = sidecar.sent.stream().filter(s -> s.upstream == 1).count();
-        assertEquals(0.8, large / 400.0, 0.06);
+        long toLarger = sidecar.sent.stream().filter(s -> s.upstream == 1).count();
+        assertEquals(0.8, toLarger / 400.0, 0.06);
     }
 
     @Test
-    void aServerThatJustTookLongIsOutOfTheDrawForAWhile() {
-        // Incident i8eec8b: a jammed server was sent more at once by each of many sidecars.
+    void anUpstreamThatRejectedIsAvoidedForAWhile() {
+        // Incident i8eec8b: many sidecars at once each sent more requests to an overloaded upstream.
         FakeSidecar sidecar = sidecar(true, SAFE);
         sidecar.listReady(2);
         for (int i = 0; i < 10; i++) {
@@ -157,7 +161,7 @@
             sidecar.advance(200);
         }
         sidecar.request(0);
-        int jammed = sidecar.lastAttempt().upstream;
+        int overloaded = sidecar.lastAttempt().upstream;
         sidecar.end(sidecar.lastAttempt(), Outcome.REJECTED);
         double from = sidecar.now;
         for (int i = 0; i < 5; i++) {
@@ -167,58 +171,60 @@
         assertEquals(
                 0,
                 sidecar.sent.stream()
-                        .filter(s -> s.atMs > from && s.upstream == jammed)
+                        .filter(s -> s.atMs > from && s.upstream == overloaded)
                         .count());
         sidecar.advance(1500);
         for (int i = 0; i < 30; i++) {
             sidecar.request(0);
             serve(sidecar, 50);
         }
-        assertTrue(sidecar.sent.stream().anyMatch(s -> s.atMs > from && s.upstream == jammed));
+        assertTrue(sidecar.sent.stream().anyMatch(s -> s.atMs > from && s.upstream == overloaded));
     }
 
     @Test
-    void aStarvedClassIsLiftedAndTheNewestGoFirst() {
-        // cuyo-acelero's overload day served its least class 5%; older requests of a class came before newer ones.
-        RequestClass worthy = TestSettings.requestClass(Effect.SAFE, Group.ALL, 5);
-        FakeSidecar sidecar = new FakeSidecar(settings(1, true, LIMITS, false, new Goal(0.4, 0.6, 0), worthy, SAFE), 7);
+    void aStarvedClassGetsAMinimumAndTheNewestRequestsAreServedFirst() {
+        // On the overload day of cuyo-acelero only 5% of the requests of the class with the least worth were served, and
+        // older requests of a class were served before newer ones.
+        RequestClass highWorth = TestSettings.requestClass(Effect.SAFE, Group.ALL, 5);
+        FakeSidecar sidecar =
+                new FakeSidecar(settings(1, true, LIMITS, false, new Goal(0.4, 0.6, 0), highWorth, SAFE), 7);
         sidecar.listReady(1);
-        List<Integer> small = new ArrayList<>();
+        List<Integer> lowWorth = new ArrayList<>();
         for (int i = 0; i < 3000; i++) {
             sidecar.request(0);
-            small.add(sidecar.request(1));
+            lowWorth.add(sidecar.request(1));
             sidecar.advance(20);
             List<FakeSidecar.SentAttempt> out = sidecar.pendingAttempts();
             if (!out.isEmpty()) {
                 sidecar.end(out.get(0), Outcome.OK);
             }
         }
-        double served = small.stream()
+        double served = lowWorth.stream()
                         .filter(id -> sidecar.attemptsOf(id).stream().anyMatch(s -> s.outcome == Outcome.OK))
                         .count()
-                / (double) small.size();
-        assertTrue(served > 0.25, "of the class worth less: " + served);
+                / (double) lowWorth.size();
+        assertTrue(served > 0.25, "served fraction of the class with less worth: " + served);
         assertEquals(List.of(), sidecar.violations);
     }
 
     @Test
-    void newServersTakeMembersPlacesAsAnEvenCoverAsks() {
-        // Incident i0a695e: a fleet grew from 47 to 130 servers, and full subsets never took a new one.
-        int held = 0;
+    void newUpstreamsReplaceMembersUntilSubsetsCoverTheListEvenly() {
+        // Incident i0a695e: the list grew from 47 to 130 upstreams, and full subsets never included a new one.
+        int newMembers = 0;
         for (int seed = 0; seed < 20; seed++) {
             FakeSidecar sidecar =
                     new FakeSidecar(settings(SIDECARS, true, LIMITS, false, new Goal(1, 0, 0), SAFE), seed);
             sidecar.listReady(20);
-            Upstream[] fresh = new Upstream[20];
+            Upstream[] added = new Upstream[20];
             for (int i = 0; i < 20; i++) {
-                fresh[i] = FakeSidecar.upstream(101 + i, Status.READY, 0);
+                added[i] = FakeSidecar.upstream(101 + i, Status.READY, 0);
             }
-            sidecar.updateList(ListKind.DELTA, fresh);
+            sidecar.updateList(ListKind.DELTA, added);
             for (int i = 0; i < 200; i++) {
                 sidecar.request(0);
                 serve(sidecar, 20);
             }
-            held += (int) sidecar.sent.stream()
+            newMembers += (int) sidecar.sent.stream()
                     .map(s -> s.upstream)
                     .filter(id -> id > 100)
                     .distinct()
@@ -226,12 +232,14 @@
             assertEquals(
                     10, sidecar.sent.stream().map(s -> s.upstream).distinct().count());
         }
-        assertTrue(held > 60 && held < 120, "of 200 places, about four in ten go to new servers: " + held);
+        assertTrue(
+                newMembers > 60 && newMembers < 120,
+                "of 200 places about four in ten go to new upstreams: " + newMembers);
     }
 
     @Test
-    void whereMostAttemptsComeLateMostRequestsAreRefusedAtFirst() {
-        // Incidents i77f1f4 and i8eec8b: a fleet whose servers go on with overdue work never got out of a jam.
+    void whenMostAttemptsTimeOutMostRequestsAreRefusedUntilAttemptsSucceed() {
+        // Incidents i77f1f4 and i8eec8b: upstreams that continue work past its deadline never recovered from overload.
         FakeSidecar sidecar = sidecar(true, SAFE);
         sidecar.listReady(12);
         for (int i = 0; i < 20; i++) {
@@ -259,8 +267,8 @@
     }
 
     @Test
-    void firstAttemptsThatAllTimeOutDoNotSpoilTheEstimates() {
-        // Each of them moved the estimate of the usual latency by all of it: to nothing, and for good.
+    void timeoutsOfTheFirstAttemptsDoNotDistortTheEstimates() {
+        // Each such timeout moved the estimate of the usual latency by its whole value, which left it at 0 for good.
         FakeSidecar sidecar = sidecar(true, SAFE);
         sidecar.listReady(2);
         for (int i = 0; i < 6; i++) {
@@ -284,8 +292,9 @@
     }
 
     @Test
-    void manySidecarsTogetherDoNotBurstOnAColdServer() {
-        // A full bucket at each sidecar let all of them send one request at once to a server that had just started.
+    void manySidecarsDoNotBurstOnAColdUpstream() {
+        // With a full token bucket each, all sidecars could send one request at once to an upstream that had just
+        // started.
         int burst = 0;
         for (int seed = 0; seed < 40; seed++) {
             FakeSidecar sidecar =
@@ -306,8 +315,9 @@
                     .filter(s -> s.atMs >= from && s.upstream == 9)
                     .count();
         }
-        // 40 sidecars, 2 requests a second, 5 members, a quarter warm: at 1.5 times the mean some 6 in a second.
-        assertTrue(burst <= 14, "sent together in the first second: " + burst);
-        assertTrue(burst > 0, "but some");
+        // 40 sidecars, 2 requests per second, 5 members, a quarter of capacity: at 1.5 times the mean about 6 per
+        // second.
+        assertTrue(burst <= 14, "sent in the first second: " + burst);
+        assertTrue(burst > 0, "the cold upstream gets some requests");
     }
 }
--- a/sidecar/src/test/java/gradehub/NoOpActions.java
+++ b/sidecar/src/test/java/gradehub/NoOpActions.java
@@ -1,6 +1,6 @@
 package gradehub;
 
-/** Does nothing of what a balancer asks for; a test overrides what it looks at. */
+/** Actions that do nothing; a test overrides those that it observes. */
 class NoOpActions implements Balancer.Actions {
 
     @Override
--- a/sidecar/src/test/java/gradehub/NoOpBalancer.java
+++ b/sidecar/src/test/java/gradehub/NoOpBalancer.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** A balancer that does nothing: for tests of what stands around one. */
+/** A balancer that does nothing, for tests of the code that hosts one. */
 public class NoOpBalancer implements Balancer {
 
     @Override
--- a/sidecar/src/test/java/gradehub/RepositoryTest.java
+++ b/sidecar/src/test/java/gradehub/RepositoryTest.java
@@ -22,80 +22,80 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What the repository promises: the module's limits, and an example that compiles and runs. */
+/** Checks the limits of the balancer's sources, the deploy file, the compiled classes and the example in README.md. */
 class RepositoryTest {
 
-    /** The repository, from the folder of the module, in which the tests run. */
+    /** The root of the repository; the tests run in the Maven module's folder. */
     private static final Path ROOT = Path.of("..");
 
-    private static final Path MODULE = ROOT.resolve("sidecar/src/main/java/gradehub");
-    /** Shared with the network code and the adapter: they decide nothing. */
-    private static final Set<String> NOT_POLICY =
+    private static final Path PACKAGE = ROOT.resolve("sidecar/src/main/java/gradehub");
+    /** Sources shared with the network code and the adapter, which take no balancing decisions. */
+    private static final Set<String> SHARED_SOURCES =
             Set.of("Balancer.java", "Main.java", "SettingsReader.java", "package-info.java");
 
     @Test
-    void theModuleStaysWithinItsLimits() throws IOException {
+    void thePolicyFilesStayWithinTheirLimits() throws IOException {
         List<String> lines = new ArrayList<>();
-        for (Path file : policy()) {
+        for (Path file : policyFiles()) {
             lines.addAll(Files.readAllLines(file));
         }
-        long written = lines.stream().filter(line -> !line.isBlank()).count();
-        assertTrue(written <= 1200, written + " lines");
+        long nonBlank = lines.stream().filter(line -> !line.isBlank()).count();
+        assertTrue(nonBlank <= 1200, nonBlank + " lines");
         for (String line : lines) {
             assertTrue(line.length() <= 110, line);
         }
         String head = String.join(
                 "\n",
-                Files.readAllLines(MODULE.resolve("LoadShiftingBalancer.java")).subList(0, 20));
-        assertTrue(head.contains("Balancer.java"), "the head names the interface file");
+                Files.readAllLines(PACKAGE.resolve("LoadShiftingBalancer.java")).subList(0, 20));
+        assertTrue(head.contains("Balancer.java"), "the head of the class names the interface file");
     }
 
-    /** What the deploy file does not name is decided by code that nobody measures. */
+    /** Decision code in a file that the deploy file does not name would not be measured. */
     @Test
-    void theDeployFileNamesEachFileOfTheModule() throws IOException {
-        try (Stream<Path> files = Files.list(MODULE)) {
-            Set<Path> module = files.filter(Files::isRegularFile)
-                    .filter(file -> !NOT_POLICY.contains(file.getFileName().toString()))
+    void theDeployFileNamesEachPolicyFile() throws IOException {
+        try (Stream<Path> files = Files.list(PACKAGE)) {
+            Set<Path> sources = files.filter(Files::isRegularFile)
+                    .filter(file -> !SHARED_SOURCES.contains(file.getFileName().toString()))
                     .collect(Collectors.toSet());
-            assertEquals(module, Set.copyOf(policy()));
+            assertEquals(sources, Set.copyOf(policyFiles()));
         }
     }
 
-    /** It may lie outside the policy files only as long as it declares no type. */
+    /** {@code package-info.java} may be left out of the policy files only while it declares no type. */
     @Test
-    void theDescriptionOfThePackageHoldsNoCode() throws IOException {
-        String description = Files.readString(MODULE.resolve("package-info.java"));
+    void thePackageDescriptionContainsNoCode() throws IOException {
+        String description = Files.readString(PACKAGE.resolve("package-info.java"));
         String code = description.replaceAll("(?s)/\\*.*?\\*/", "").strip();
         assertEquals("package gradehub;", code);
     }
 
-    private static List<Path> policy() throws IOException {
-        Matcher list = Pattern.compile("^policy = \\[(.*)]$", Pattern.MULTILINE)
+    private static List<Path> policyFiles() throws IOException {
+        Matcher policy = Pattern.compile("^policy = \\[(.*)]$", Pattern.MULTILINE)
                 .matcher(Files.readString(ROOT.resolve("deploy/balancer.toml")));
-        assertTrue(list.find(), "the deploy file names the policy");
-        return Stream.of(list.group(1).split(","))
+        assertTrue(policy.find(), "the deploy file has a policy entry");
+        return Stream.of(policy.group(1).split(","))
                 .map(name -> ROOT.resolve(name.strip().replace("\"", "")))
                 .toList();
     }
 
-    /** The first run of one compiled to {@code invokedynamic} spins classes for a quarter of a second of a slow core. */
+    /** The first concatenation through {@code invokedynamic} generates classes for 0.25 s on a slow core. */
     @Test
-    void noStringConcatenationGeneratesClassesAtRunTime() throws IOException {
-        List<Path> generating = new ArrayList<>();
+    void noStringConcatenationUsesInvokedynamic() throws IOException {
+        List<Path> usingIndy = new ArrayList<>();
         try (Stream<Path> files = Files.walk(Path.of("target/classes"))) {
             for (Path file :
                     files.filter(name -> name.toString().endsWith(".class")).toList()) {
                 String constants = Files.readString(file, StandardCharsets.ISO_8859_1);
                 if (constants.contains("java/lang/invoke/StringConcatFactory")) {
-                    generating.add(file);
+                    usingIndy.add(file);
                 }
             }
         }
-        assertEquals(List.of(), generating);
+        assertEquals(List.of(), usingIndy);
     }
 
     @Test
-    void theExampleOfTheReadmeCompilesAndRuns(@TempDir Path dir) throws Exception {
+    void theReadmeExampleCompilesAndRuns(@TempDir Path dir) throws Exception {
         Matcher block = Pattern.compile("```java\n(.*?)```", Pattern.DOTALL)
                 .matcher(Files.readString(ROOT.resolve("README.md")));
         assertTrue(block.find(), "README.md has an example");
--- a/sidecar/src/test/java/gradehub/SubscriptionTest.java
+++ b/sidecar/src/test/java/gradehub/SubscriptionTest.java
@@ -11,13 +11,13 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Subscriptions to the list of upstreams: when a sidecar asks for it, and how soon again after a failure. */
+/** Subscriptions to the list of upstreams: when a sidecar subscribes, and the delay after a failure. */
 class SubscriptionTest {
 
     private static final Limits LIMITS = new Limits(4, true, true, false, 0);
 
     @Test
-    void anAskingSidecarSubscribesAndDoesSoAgainAtPacedRandomTimes() {
+    void inPullModeASidecarSubscribesAndRetriesAfterRandomDelays() {
         List<Double> delays = new ArrayList<>();
         for (int seed = 0; seed < 20; seed++) {
             FakeSidecar sidecar = new FakeSidecar(
@@ -36,19 +36,20 @@
                 sidecar.updateList(ListKind.FAILED);
                 sidecar.advance(sidecar.settings.contract().askEveryMs() / 2);
             }
-            assertEquals(12, sidecar.subscriptions, "asks again within half the time allowed");
+            assertEquals(12, sidecar.subscriptions, "subscribes again within half of askEveryMs");
         }
-        assertTrue(delays.stream().distinct().count() > 10, "spread out: " + delays);
-        assertTrue(delays.stream().allMatch(delay -> delay >= 100 && delay <= 400), "paced: " + delays);
+        assertTrue(delays.stream().distinct().count() > 10, "delays are spread: " + delays);
+        assertTrue(
+                delays.stream().allMatch(delay -> delay >= 100 && delay <= 400), "delays are within bounds: " + delays);
     }
 
-    /** What discovery tells counts as told 6 s after it can be reached, however often calls have failed before. */
+    /** A change must be known within 6 s of discovery becoming reachable, after any number of failed calls. */
     @Test
-    void howeverOftenCallsFailTheNextOneFitsIntoTheTimeToBeTold() {
+    void afterAnyNumberOfFailedCallsTheNextOneMeetsTheTimeLimit() {
         assertTrue(
                 ListTimes.SILENCE_MS + ListTimes.PAUSE_MS + ListTimes.CONNECT_MS < ListTimes.TOLD_MS - 1000,
-                "a second at least for discovery to answer");
-        assertTrue(ListTimes.SILENCE_MS > 2000, "an empty line comes every 2 s");
+                "at least one second is left for discovery to answer");
+        assertTrue(ListTimes.SILENCE_MS > 2000, "longer than the 2 s between empty lines");
         List<Double> delays = new ArrayList<>();
         for (int seed = 0; seed < 20; seed++) {
             FakeSidecar sidecar = new FakeSidecar(
@@ -62,10 +63,10 @@
                 while (sidecar.subscriptions == call) {
                     sidecar.advance(1);
                 }
-                assertTrue(sidecar.now - from <= ListTimes.PAUSE_MS + 1, "it waits " + (sidecar.now - from));
+                assertTrue(sidecar.now - from <= ListTimes.PAUSE_MS + 1, "the delay is " + (sidecar.now - from));
                 delays.add(sidecar.now - from);
             }
         }
-        assertTrue(delays.stream().distinct().count() > 100, "spread out: " + delays);
+        assertTrue(delays.stream().distinct().count() > 100, "delays are spread: " + delays);
     }
 }
--- a/sidecar/src/test/java/gradehub/TestSettings.java
+++ b/sidecar/src/test/java/gradehub/TestSettings.java
@@ -10,7 +10,7 @@
 import gradehub.Balancer.Tenant;
 import java.util.List;
 
-/** Settings for the tests. */
+/** Settings that tests start from. */
 final class TestSettings {
 
     static final double TICK_MS = 5;
@@ -25,12 +25,12 @@
         return settings(1, new Limits(4, true, true, false, 0), false, List.of(), classes);
     }
 
-    static Settings settings(int sidecars, Limits limits, boolean ask, List<Tenant> tenants, RequestClass... classes) {
+    static Settings settings(int sidecars, Limits limits, boolean pull, List<Tenant> tenants, RequestClass... classes) {
         return new Settings(
                 List.of(classes),
                 tenants,
                 sidecars,
-                ask,
+                pull,
                 true,
                 TICK_MS,
                 0.1,
