--- a/sidecar/src/main/java/gradehub/Main.java
+++ b/sidecar/src/main/java/gradehub/Main.java
@@ -29,7 +29,7 @@
         // Before Netty is loaded: it would set them up on the event loop, at the first chunk that it lets go.
         System.setProperty(NETTY_RECORDER_EVENTS, "false");
         // Before the first logger is made, which loads the log manager.
-        System.setProperty(LOG_MANAGER, "gradehub.node.LastingLogManager");
+        System.setProperty(LOG_MANAGER, "gradehub.node.NonResettingLogManager");
         if (args.length == 1 && args[0].equals("serve")) {
             Sidecar.main(System.getenv());
         } else if (args.length == 1 && args[0].equals("benchlink")) {
--- a/sidecar/src/main/java/gradehub/node/ArchiveRun.java
+++ b/sidecar/src/main/java/gradehub/node/ArchiveRun.java
@@ -79,11 +79,11 @@
         TrainingSession pushed = new TrainingSession(TrainingSession.Membership.PUSH, folder);
         Sidecar.main(pushed.environment());
         pushed.awaitReady();
-        pushed.play();
+        pushed.runTraffic();
         try (TrainingSession asked = new TrainingSession(TrainingSession.Membership.ASK, folder)) {
             Sidecar sidecar = Sidecar.start(Config.load(asked.environment()));
             asked.awaitReady();
-            asked.play();
+            asked.runTraffic();
             takeUnusedPaths(sidecar);
             sidecar.halt();
         }
--- a/sidecar/src/main/java/gradehub/node/Sidecar.java
+++ b/sidecar/src/main/java/gradehub/node/Sidecar.java
@@ -79,7 +79,7 @@
             Config config = retry.until("reading the configuration", () -> Config.loadForStart(environment));
             Sidecar sidecar = retry.until("opening the event loop", () -> createForStart(config));
             signal.onSignal(() -> sidecar.reload(environment));
-            Rehearsal.tryIt(); // while discovery answers
+            Warmup.run(); // while discovery answers
             System.gc(); // else the first collection in service copies all that the start has left
             sidecar.discovery.awaitAnswer(longestListMs());
             onSigterm(new Thread(() -> sidecar.stopAndExit(log), "stop"));
--- a/sidecar/src/main/java/gradehub/node/StandardErrorLog.java
+++ b/sidecar/src/main/java/gradehub/node/StandardErrorLog.java
@@ -59,7 +59,7 @@
             }
         }
         root.addHandler(log);
-        LastingLogManager.keepHandlers();
+        NonResettingLogManager.disableReset();
         return log;
     }
 
--- a/sidecar/src/main/java/gradehub/node/TrainingWire.java
+++ b/sidecar/src/main/java/gradehub/node/TrainingConnection.java
@@ -10,7 +10,7 @@
 import java.util.Locale;
 
 /** One blocking HTTP/1.1 connection of a training run, which may send and break off whatever it likes. */
-final class TrainingWire implements Closeable {
+final class TrainingConnection implements Closeable {
 
     private static final int PATIENCE_MS = 20_000;
 
@@ -36,7 +36,7 @@
     private final Socket socket;
     private final InputStream in;
 
-    TrainingWire(Socket socket) throws IOException {
+    TrainingConnection(Socket socket) throws IOException {
         this.socket = socket;
         socket.setSoTimeout(PATIENCE_MS);
         socket.setTcpNoDelay(true);
--- a/sidecar/src/main/java/gradehub/node/TrainingPeers.java
+++ b/sidecar/src/main/java/gradehub/node/TrainingPeers.java
@@ -107,14 +107,14 @@
     }
 
     /** Waits until the sidecar asks the second discovery service; returns false where it does not. */
-    boolean awaitMove(long longestMs) throws InterruptedException {
+    boolean awaitDiscoverySwitch(long longestMs) throws InterruptedException {
         return moved.await(longestMs, TimeUnit.MILLISECONDS);
     }
 
     // ---- Sockets.
 
     private interface Conversation {
-        void hold(TrainingWire wire) throws IOException, InterruptedException;
+        void hold(TrainingConnection wire) throws IOException, InterruptedException;
     }
 
     private ServerSocket listener() throws IOException {
@@ -147,7 +147,7 @@
     private void accept(ServerSocket listener, Conversation conversation) {
         startDaemon(() -> {
             while (true) {
-                TrainingWire wire = new TrainingWire(listener.accept());
+                TrainingConnection wire = new TrainingConnection(listener.accept());
                 startDaemon(() -> {
                     try (wire) {
                         conversation.hold(wire);
@@ -184,14 +184,14 @@
 
     // ---- Upstreams.
 
-    private void serve(TrainingWire wire) throws IOException, InterruptedException {
-        for (TrainingWire.Message request = wire.read(); request != null; request = wire.read()) {
+    private void serve(TrainingConnection wire) throws IOException, InterruptedException {
+        for (TrainingConnection.Message request = wire.read(); request != null; request = wire.read()) {
             String path = request.first().split(" ")[1];
             react(Reaction.valueOf(path.split("/")[2]), request.header("X-Txn"), wire);
         }
     }
 
-    private void react(Reaction reaction, String id, TrainingWire wire) throws IOException, InterruptedException {
+    private void react(Reaction reaction, String id, TrainingConnection wire) throws IOException, InterruptedException {
         switch (reaction) {
             case SERVE -> wire.send(served("X-Pressure: rps=1,cpu=0.5\r\nContent-Type: text/plain\r\n"));
             case SERVE_CHUNKED -> wire.send(CHUNKED + "3\r\nabc\r\n0\r\n\r\n");
@@ -229,7 +229,7 @@
         }
     }
 
-    private static void sendLate(TrainingWire wire, String answer) throws IOException, InterruptedException {
+    private static void sendLate(TrainingConnection wire, String answer) throws IOException, InterruptedException {
         Thread.sleep(LATE_MS);
         wire.send(answer);
     }
@@ -240,14 +240,14 @@
 
     // ---- Discovery.
 
-    private void answerSteadily(TrainingWire wire) throws IOException, InterruptedException {
+    private void answerSteadily(TrainingConnection wire) throws IOException, InterruptedException {
         wire.read();
         moved.countDown();
         watch(wire);
     }
 
-    private void answerList(TrainingWire wire) throws IOException, InterruptedException {
-        TrainingWire.Message request = wire.read();
+    private void answerList(TrainingConnection wire) throws IOException, InterruptedException {
+        TrainingConnection.Message request = wire.read();
         if (request == null) {
             return;
         }
@@ -268,7 +268,7 @@
         return steps[Math.min(watches++, steps.length - 1)];
     }
 
-    private void play(WatchStep step, TrainingWire wire) throws IOException, InterruptedException {
+    private void play(WatchStep step, TrainingConnection wire) throws IOException, InterruptedException {
         switch (step) {
             case LIST_THEN_CHANGES -> changes(wire);
             case UNAVAILABLE -> wire.send("HTTP/1.1 503 Service Unavailable\r\n" + NO_BODY);
@@ -284,7 +284,7 @@
     }
 
     /** Until the other side closes. */
-    private void watch(TrainingWire wire) throws IOException, InterruptedException {
+    private void watch(TrainingConnection wire) throws IOException, InterruptedException {
         wire.send(CHUNKED + chunk(fullList(10)));
         while (true) {
             Thread.sleep(BLANK_LINE_MS);
@@ -292,7 +292,7 @@
         }
     }
 
-    private void changes(TrainingWire wire) throws IOException, InterruptedException {
+    private void changes(TrainingConnection wire) throws IOException, InterruptedException {
         String last = upstreams.get(UPSTREAMS - 1);
         wire.send(CHUNKED + chunk(fullList(2).replace(",", ",\n  ")));
         List<String> changes = List.of(
--- a/sidecar/src/main/java/gradehub/node/TrainingSession.java
+++ b/sidecar/src/main/java/gradehub/node/TrainingSession.java
@@ -96,9 +96,9 @@
     }
 
     private boolean isReady() {
-        try (TrainingWire wire = new TrainingWire(new Socket(listen.getAddress(), listen.getPort()))) {
+        try (TrainingConnection wire = new TrainingConnection(new Socket(listen.getAddress(), listen.getPort()))) {
             wire.send("GET /ready HTTP/1.1\r\n\r\n");
-            TrainingWire.Message answer = wire.read();
+            TrainingConnection.Message answer = wire.read();
             return answer != null && answer.status() == 200;
         } catch (IOException e) {
             return false; // it does not listen yet
@@ -106,10 +106,10 @@
     }
 
     /** Clients and discovery make trouble, and traffic goes on; returns the statuses of all answers. */
-    Set<Integer> play() throws IOException, InterruptedException, ExecutionException {
-        Set<Integer> statuses = new TrainingTraffic(listen).play();
+    Set<Integer> runTraffic() throws IOException, InterruptedException, ExecutionException {
+        Set<Integer> statuses = new TrainingTraffic(listen).runTraffic();
         peers.awaitSteadyWatch();
-        statuses.addAll(new TrainingTraffic(listen).play());
+        statuses.addAll(new TrainingTraffic(listen).runTraffic());
         return statuses;
     }
 
@@ -125,7 +125,7 @@
             useless.write("no configuration".getBytes(StandardCharsets.US_ASCII));
         }
         writeConfig(peers.secondDiscovery());
-        if (!peers.awaitMove(READY_MS)) {
+        if (!peers.awaitDiscoverySwitch(READY_MS)) {
             throw new IOException("the sidecar did not move to the other discovery");
         }
     }
--- a/sidecar/src/main/java/gradehub/node/TrainingTraffic.java
+++ b/sidecar/src/main/java/gradehub/node/TrainingTraffic.java
@@ -44,7 +44,7 @@
     }
 
     /** Sends everything there is, and returns the statuses of all answers that came. */
-    Set<Integer> play() throws IOException, InterruptedException, ExecutionException {
+    Set<Integer> runTraffic() throws IOException, InterruptedException, ExecutionException {
         serveOneByOne();
         repeatIdentifier();
         ExecutorService clients = Executors.newCachedThreadPool();
@@ -72,10 +72,10 @@
     }
 
     private void serveOneByOne() throws IOException {
-        try (TrainingWire wire = connect()) {
+        try (TrainingConnection wire = connect()) {
             for (int i = 0; i < SERVED_ONE_BY_ONE; i++) {
                 wire.send(request(CLASSES.get(i % CLASSES.size()), Reaction.SERVE, "X-Estimate: 900\r\n"));
-                TrainingWire.Message answer = wire.read();
+                TrainingConnection.Message answer = wire.read();
                 if (answer == null) {
                     return; // the sidecar may close a connection between two requests
                 }
@@ -86,7 +86,7 @@
 
     /** The second request comes while the first one of its identifier is open. */
     private void repeatIdentifier() throws IOException {
-        try (TrainingWire wire = connect()) {
+        try (TrainingConnection wire = connect()) {
             wire.send(request("read", Reaction.SERVE_LATE, "").repeat(2));
             for (int i = 0; i < 2; i++) {
                 note(wire.read());
@@ -95,7 +95,7 @@
     }
 
     /** Notes the status of an answer, or nothing where the connection has ended; false for a preliminary answer. */
-    private boolean note(TrainingWire.Message answer) {
+    private boolean note(TrainingConnection.Message answer) {
         if (answer != null) {
             statuses.add(answer.status());
         }
@@ -146,7 +146,7 @@
     /** Sends this on a connection of its own, and reads until the final answer or the end. */
     private Callable<Void> exchange(String text) {
         return () -> {
-            try (TrainingWire wire = connect()) {
+            try (TrainingConnection wire = connect()) {
                 wire.send(text);
                 while (!note(wire.read())) {
                     // The final answer is still to come.
@@ -159,7 +159,7 @@
     }
 
     private Void leave() throws IOException {
-        try (TrainingWire wire = connect()) {
+        try (TrainingConnection wire = connect()) {
             wire.send(request("read", Reaction.SILENT, ""));
             wire.endOutput();
             wire.read();
@@ -168,7 +168,7 @@
     }
 
     private Void breakOff() throws IOException {
-        try (TrainingWire wire = connect()) {
+        try (TrainingConnection wire = connect()) {
             wire.send(request("read", Reaction.SERVE_LATE, ""));
             wire.reset();
         }
@@ -176,15 +176,15 @@
     }
 
     private Void breakOffUnread() throws IOException {
-        try (TrainingWire wire = connect()) {
+        try (TrainingConnection wire = connect()) {
             wire.send("GET /read HTTP/1.1\r\nX-Txn: 00");
             wire.reset();
         }
         return null;
     }
 
-    private TrainingWire connect() throws IOException {
-        return new TrainingWire(new Socket(sidecar.getAddress(), sidecar.getPort()));
+    private TrainingConnection connect() throws IOException {
+        return new TrainingConnection(new Socket(sidecar.getAddress(), sidecar.getPort()));
     }
 
     private String request(String requestClass, Reaction reaction, String headers) {
--- a/sidecar/src/main/java/gradehub/node/Rehearsal.java
+++ b/sidecar/src/main/java/gradehub/node/Warmup.java
@@ -18,7 +18,7 @@
  * Serves some requests on loopback and ends. A sidecar does so before it listens, on its part of a core: the code that
  * serves is compiled by then, and the first clients need not wait for that.
  */
-final class Rehearsal {
+final class Warmup {
 
     private static final System.Logger LOG = System.getLogger("gradehub");
     static final int REQUESTS = 1200;
@@ -42,20 +42,20 @@
             """;
     private static final String LIST = "{\"revision\":2,\"complete\":false,\"members\":[]}\n";
 
-    private Rehearsal() {}
+    private Warmup() {}
 
     /** Whatever goes wrong in it must not keep a sidecar from starting, and its slowness no more than is allowed. */
-    static void tryIt() throws InterruptedException {
+    static void run() throws InterruptedException {
         try {
             LOG.log(System.Logger.Level.INFO, "rehearsing with an upstream of its own");
-            rehearse(0, endNanos(longestMs(ManagementFactory.getRuntimeMXBean().getUptime())));
+            warmUp(0, endNanos(budgetMs(ManagementFactory.getRuntimeMXBean().getUptime())));
         } catch (IOException | RuntimeException | Config.BadConfigException e) {
             LOG.log(System.Logger.Level.WARNING, "the rehearsal failed", e);
         }
     }
 
     /** How long a rehearsal may take in a process that has run for this long: the virtual machine's start counts. */
-    static double longestMs(double uptimeMs) {
+    static double budgetMs(double uptimeMs) {
         return Math.max(0, REHEARSED_PART * READY_MS - uptimeMs);
     }
 
@@ -68,7 +68,7 @@
      * it up: the sidecar's own start is a good part of it. Returns how many requests have been answered; one that is
      * under way at the end is not waited for.
      */
-    static int rehearse(long upstreamMs, long endNanos)
+    static int warmUp(long upstreamMs, long endNanos)
             throws IOException, InterruptedException, Config.BadConfigException {
         try (ServerSocket others = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
             Thread accepting = new Thread(() -> accept(others, upstreamMs));
--- a/sidecar/src/test/java/gradehub/node/SizeTest.java
+++ b/sidecar/src/test/java/gradehub/node/LargeListTest.java
@@ -6,7 +6,7 @@
 import org.junit.jupiter.api.Test;
 
 /** A fleet as large as any that is to be expected. */
-class SizeTest {
+class LargeListTest {
 
     private static final int UPSTREAMS = 1024;
 
--- a/sidecar/src/test/java/gradehub/node/ServedClassesIT.java
+++ b/sidecar/src/test/java/gradehub/node/ServedClassesIT.java
@@ -55,7 +55,7 @@
             try {
                 session.awaitReady();
                 long before = Files.readAllLines(log).size();
-                Set<Integer> statuses = session.play();
+                Set<Integer> statuses = session.runTraffic();
                 assertTrue(statuses.containsAll(STATUSES), statuses + " came");
                 session.reload(sidecar.pid());
                 TrainingSession.signal(sidecar.pid(), "TERM");
--- a/sidecar/src/test/java/gradehub/node/StartCollectionIT.java
+++ b/sidecar/src/test/java/gradehub/node/StartCollectionIT.java
@@ -24,7 +24,7 @@
             try {
                 session.awaitReady();
                 assertEquals(1, fullCollections(log), () -> "by readiness: " + log);
-                session.play();
+                session.runTraffic();
                 assertEquals(1, fullCollections(log), () -> "after it: " + log);
             } finally {
                 sidecar.destroyForcibly();
--- a/sidecar/src/test/java/gradehub/node/RehearsalTest.java
+++ b/sidecar/src/test/java/gradehub/node/WarmupTest.java
@@ -7,12 +7,12 @@
 import org.junit.jupiter.api.Test;
 
 /** What a sidecar does before it listens. */
-class RehearsalTest {
+class WarmupTest {
 
     /** On a part of a core each request takes far longer than here; that must not make it end half compiled. */
     @Test
     void aSlowStartStillRehearsesEachRequest() throws Exception {
-        assertEquals(Rehearsal.REQUESTS, Rehearsal.rehearse(1, inMs(Wire.PATIENCE_MS)));
+        assertEquals(Warmup.REQUESTS, Warmup.warmUp(1, inMs(Wire.PATIENCE_MS)));
     }
 
     private static long inMs(long ms) {
@@ -23,7 +23,7 @@
     @Test
     void aRehearsalEndsInTimeWhateverIsUnderWay() throws Exception {
         long startNanos = System.nanoTime();
-        assertEquals(0, Rehearsal.rehearse(Wire.PATIENCE_MS, inMs(300)));
+        assertEquals(0, Warmup.warmUp(Wire.PATIENCE_MS, inMs(300)));
         long tookMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNanos);
         assertTrue(tookMs < Wire.PATIENCE_MS / 2, "it took " + tookMs + " ms");
     }
@@ -31,14 +31,14 @@
     /** On a small part of a core the time may be over before the sidecar that rehearses is up. */
     @Test
     void aStartThatHasTakenAllTheTimeRehearsesNothing() throws Exception {
-        assertEquals(0, Rehearsal.rehearse(0, inMs(0)));
+        assertEquals(0, Warmup.warmUp(0, inMs(0)));
     }
 
     /** Nine in ten processes have to be ready 10 s after their start, the virtual machine's own part included. */
     @Test
     void theLongerTheProcessHasRunTheLessIsRehearsed() {
-        assertEquals(0, Rehearsal.longestMs(9000));
-        assertEquals(1000, Rehearsal.longestMs(0) - Rehearsal.longestMs(1000), 1e-6);
-        assertTrue(Rehearsal.longestMs(0) < 9000, "time is left to bind and to have a list");
+        assertEquals(0, Warmup.budgetMs(9000));
+        assertEquals(1000, Warmup.budgetMs(0) - Warmup.budgetMs(1000), 1e-6);
+        assertTrue(Warmup.budgetMs(0) < 9000, "time is left to bind and to have a list");
     }
 }
