--- a/sidecar/src/test/java/gradehub/LowTrafficTest.java
+++ b/sidecar/src/test/java/gradehub/LowTrafficTest.java
@@ -183,7 +183,8 @@
 
     @Test
     void aStarvedClassGetsAMinimumAndTheNewestRequestsAreServedFirst() {
-        // On the overload day of cuyo-acelero only 5% of the requests of the class with the least worth were served, and
+        // On the overload day of cuyo-acelero only 5% of the requests of the class with the least worth were served,
+        // and
         // older requests of a class were served before newer ones.
         RequestClass highWorth = TestSettings.requestClass(Effect.SAFE, Group.ALL, 5);
         FakeSidecar sidecar =
