--- a/sidecar/src/main/java/gradehub/benchlink/BenchLink.java
+++ b/sidecar/src/main/java/gradehub/benchlink/BenchLink.java
@@ -18,17 +18,20 @@
 import java.util.List;
 import java.util.Map;
 
-/** Hosts many balancers behind the simulator's wire: reads batches, passes events on, writes one reply to each. */
+/**
+ * Hosts the balancers of many simulated sidecars behind the simulator's binary protocol: reads batches of events, passes
+ * them to the balancers and writes one reply for each batch.
+ */
 public final class BenchLink {
 
-    /** Makes the balancer of one instance. */
+    /** Creates the balancer of one instance. */
     public interface Factory {
-        /** Creates a balancer that draws its random numbers from the seed and calls the given actions. */
+        /** Creates a balancer that seeds its random numbers with {@code seed} and calls {@code actions}. */
         Balancer create(Settings settings, long seed, Balancer.Actions actions);
     }
 
-    private static final int BANKS = 16;
-    private static final int ENTRY_BYTES = 22;
+    private static final int LIST_SLOTS = 16;
+    private static final int UPSTREAM_BYTES = 22;
     private static final int HINT_FLAG = 1;
     private static final int REPEAT_FLAG = 2;
     private static final double[] NO_REPORT = {};
@@ -41,38 +44,38 @@
     private final OutputStream out;
     private final ReplyWriter reply = new ReplyWriter();
     private final Map<Integer, Balancer> balancers = new HashMap<>();
-    /** How many classes each instance was told of. */
-    private final Map<Integer, Integer> classes = new HashMap<>();
+    /** The number of request classes in the settings of each instance. */
+    private final Map<Integer, Integer> classCounts = new HashMap<>();
 
-    private final List<List<Upstream>> banks = new ArrayList<>();
+    private final List<List<Upstream>> lists = new ArrayList<>();
 
     /** Creates an adapter that reads batches from {@code in} and writes replies to {@code out}. */
     public BenchLink(Factory factory, InputStream in, OutputStream out) {
         this.factory = factory;
         this.batch = new BatchReader(in);
         this.out = out;
-        for (int i = 0; i < BANKS; i++) {
-            banks.add(List.of());
+        for (int i = 0; i < LIST_SLOTS; i++) {
+            lists.add(List.of());
         }
     }
 
-    /** Runs until the input ends. */
+    /** Handles batches until the input ends. */
     public void run() throws IOException {
         while (batch.next()) {
-            reply.begin(batch.number());
+            reply.begin(batch.batchNumber());
             int instance = -1;
-            for (long i = 0; i < batch.records(); i++) {
+            for (long i = 0; i < batch.recordCount(); i++) {
                 int start = batch.position();
                 try {
                     int code = batch.u16();
                     if (code == 12) {
                         instance = batch.u16();
                     } else if (code == 11) {
-                        readBank();
+                        readList();
                     } else if (instance < 0) {
-                        throw new MalformedFrameException("an event comes before any instance is named");
+                        throw new MalformedFrameException("an event comes before any instance is selected");
                     } else {
-                        event(instance, code);
+                        dispatch(instance, code);
                     }
                 } catch (EOFException e) {
                     throw malformed(i, start, "the record runs past the end of the batch");
@@ -80,123 +83,124 @@
                     throw malformed(i, start, e.getMessage());
                 }
             }
-            if (batch.left() > 0) {
-                throw malformed(batch.records(), batch.position(), batch.left() + " bytes follow the last record");
+            if (batch.remaining() > 0) {
+                throw malformed(
+                        batch.recordCount(), batch.position(), batch.remaining() + " bytes follow the last record");
             }
             reply.writeTo(out);
         }
     }
 
-    private MalformedFrameException malformed(long record, int position, String what) {
-        return new MalformedFrameException("batch " + Integer.toUnsignedString(batch.number()) + ", record " + record
-                + " at byte " + position + ": " + what);
+    private MalformedFrameException malformed(long record, int position, String problem) {
+        return new MalformedFrameException("batch " + Integer.toUnsignedString(batch.batchNumber()) + ", record "
+                + record + " at byte " + position + ": " + problem);
     }
 
-    /** Reads the fields of one event whole, then tells it; a module's exception ends in the panic action. */
-    private void event(int instance, int code) throws IOException {
-        double now = batch.nowMs();
+    /** Reads all fields of one event, then passes it on; an exception of the balancer becomes a panic action. */
+    private void dispatch(int instance, int code) throws IOException {
+        double nowMs = batch.nowMs();
         Balancer balancer = balancers.get(instance);
         switch (code) {
-            case 1 -> instanceStarted(instance, now);
-            case 2 -> upstreamsListed(instance, balancer, now);
-            case 3 -> requestArrived(instance, balancer, now);
-            case 4 -> streamStarted(instance, balancer, now);
-            case 5 -> attemptEnded(instance, balancer, now);
-            case 6 -> clientLeft(instance, balancer, now);
-            case 7 -> timerFired(instance, balancer, now);
-            case 8 -> probeEnded(instance, balancer, now);
-            case 9 -> peerMessageReceived(instance, balancer, now);
+            case 1 -> instanceStarted(instance, nowMs);
+            case 2 -> upstreamsListed(instance, balancer, nowMs);
+            case 3 -> requestArrived(instance, balancer, nowMs);
+            case 4 -> streamStarted(instance, balancer, nowMs);
+            case 5 -> attemptEnded(instance, balancer, nowMs);
+            case 6 -> clientLeft(instance, balancer, nowMs);
+            case 7 -> timerFired(instance, balancer, nowMs);
+            case 8 -> probeEnded(instance, balancer, nowMs);
+            case 9 -> peerMessageReceived(instance, balancer, nowMs);
             case 10 -> balancers.remove(instance);
             default -> throw new MalformedFrameException("unknown event code " + code);
         }
     }
 
-    private void instanceStarted(int instance, double now) throws IOException {
+    private void instanceStarted(int instance, double nowMs) throws IOException {
         long seed = batch.u64();
         Settings settings = settings(batch.text(batch.count(1)));
-        classes.put(instance, settings.classes().size());
-        guarded(instance, () -> {
-            Balancer fresh = factory.create(settings, seed, reply.actionsOf(instance));
-            balancers.put(instance, fresh);
-            fresh.start(now);
+        classCounts.put(instance, settings.classes().size());
+        runOrPanic(instance, () -> {
+            Balancer created = factory.create(settings, seed, reply.actionsOf(instance));
+            balancers.put(instance, created);
+            created.start(nowMs);
         });
     }
 
-    private void upstreamsListed(int instance, Balancer balancer, double now) throws IOException {
-        ListKind kind = pick(LIST_KINDS, batch.u8(), "list kind");
+    private void upstreamsListed(int instance, Balancer balancer, double nowMs) throws IOException {
+        ListKind kind = enumValue(LIST_KINDS, batch.u8(), "list kind");
         batch.u32();
-        int bank = batch.u8();
-        if (kind != ListKind.FAILED && bank >= BANKS) {
-            throw new MalformedFrameException("list number " + bank + " is not below " + BANKS);
+        int slot = batch.u8();
+        if (kind != ListKind.FAILED && slot >= LIST_SLOTS) {
+            throw new MalformedFrameException("list number " + slot + " is not below " + LIST_SLOTS);
         }
-        List<Upstream> entries = kind == ListKind.FAILED ? List.of() : banks.get(bank);
-        tell(instance, balancer, () -> balancer.upstreams(now, kind, entries));
+        List<Upstream> entries = kind == ListKind.FAILED ? List.of() : lists.get(slot);
+        deliver(instance, balancer, () -> balancer.upstreams(nowMs, kind, entries));
     }
 
-    private void requestArrived(int instance, Balancer balancer, double now) throws IOException {
+    private void requestArrived(int instance, Balancer balancer, double nowMs) throws IOException {
         int id = batch.u32();
         int flags = batch.u8();
         batch.u64();
         int requestClass = batch.u16();
-        if (balancer != null && requestClass >= classes.get(instance)) {
+        if (balancer != null && requestClass >= classCounts.get(instance)) {
             throw new MalformedFrameException("unknown class " + requestClass);
         }
         double timeoutMs = batch.f64();
         int tenant = batch.u32();
         double hintMs = batch.f64();
         double costMs = (flags & HINT_FLAG) != 0 && hintMs > 0 ? hintMs : 0;
-        tell(
+        deliver(
                 instance,
                 balancer,
                 () -> balancer.request(
-                        now, new Request(id, requestClass, tenant, timeoutMs, (flags & REPEAT_FLAG) != 0, costMs)));
+                        nowMs, new Request(id, requestClass, tenant, timeoutMs, (flags & REPEAT_FLAG) != 0, costMs)));
     }
 
-    private void streamStarted(int instance, Balancer balancer, double now) throws IOException {
+    private void streamStarted(int instance, Balancer balancer, double nowMs) throws IOException {
         int id = batch.u32();
         batch.u32();
         int attempt = batch.u8();
         double elapsedMs = batch.f64();
-        tell(instance, balancer, () -> balancer.streamStarted(now, id, attempt, elapsedMs));
+        deliver(instance, balancer, () -> balancer.streamStarted(nowMs, id, attempt, elapsedMs));
     }
 
-    private void attemptEnded(int instance, Balancer balancer, double now) throws IOException {
+    private void attemptEnded(int instance, Balancer balancer, double nowMs) throws IOException {
         int id = batch.u32();
         double elapsedMs = batch.f64();
         boolean done = batch.u8() != 0;
         int upstream = batch.u32();
         int attempt = batch.u8();
-        Outcome outcome = pick(OUTCOMES, batch.u8(), "outcome");
+        Outcome outcome = enumValue(OUTCOMES, batch.u8(), "outcome");
         double[] report = report();
-        tell(
+        deliver(
                 instance,
                 balancer,
                 () -> balancer.attemptEnded(
-                        now, new AttemptEnd(id, attempt, upstream, outcome, elapsedMs, done, report)));
+                        nowMs, new AttemptEnd(id, attempt, upstream, outcome, elapsedMs, done, report)));
     }
 
-    private void clientLeft(int instance, Balancer balancer, double now) throws IOException {
+    private void clientLeft(int instance, Balancer balancer, double nowMs) throws IOException {
         int id = batch.u32();
-        tell(instance, balancer, () -> balancer.clientLeft(now, id));
+        deliver(instance, balancer, () -> balancer.clientLeft(nowMs, id));
     }
 
-    private void timerFired(int instance, Balancer balancer, double now) throws IOException {
+    private void timerFired(int instance, Balancer balancer, double nowMs) throws IOException {
         int token = batch.u32();
-        tell(instance, balancer, () -> balancer.timer(now, token));
+        deliver(instance, balancer, () -> balancer.timer(nowMs, token));
     }
 
-    private void probeEnded(int instance, Balancer balancer, double now) throws IOException {
+    private void probeEnded(int instance, Balancer balancer, double nowMs) throws IOException {
         int upstream = batch.u32();
-        Outcome outcome = pick(OUTCOMES, batch.u8(), "outcome");
+        Outcome outcome = enumValue(OUTCOMES, batch.u8(), "outcome");
         double elapsedMs = batch.f64();
         double[] report = report();
-        tell(instance, balancer, () -> balancer.probeEnded(now, upstream, outcome, elapsedMs, report));
+        deliver(instance, balancer, () -> balancer.probeEnded(nowMs, upstream, outcome, elapsedMs, report));
     }
 
-    private void peerMessageReceived(int instance, Balancer balancer, double now) throws IOException {
+    private void peerMessageReceived(int instance, Balancer balancer, double nowMs) throws IOException {
         int sender = batch.u16();
         byte[] message = batch.bytes(batch.u16());
-        tell(instance, balancer, () -> balancer.peerMessage(now, sender, message));
+        deliver(instance, balancer, () -> balancer.peerMessage(nowMs, sender, message));
     }
 
     private static Settings settings(String options) throws MalformedFrameException {
@@ -207,12 +211,12 @@
         }
     }
 
-    private void readBank() throws IOException {
-        int bank = batch.u8();
-        if (bank >= BANKS) {
-            throw new MalformedFrameException("list number " + bank + " is not below " + BANKS);
+    private void readList() throws IOException {
+        int slot = batch.u8();
+        if (slot >= LIST_SLOTS) {
+            throw new MalformedFrameException("list number " + slot + " is not below " + LIST_SLOTS);
         }
-        Upstream[] entries = new Upstream[batch.count(ENTRY_BYTES)];
+        Upstream[] entries = new Upstream[batch.count(UPSTREAM_BYTES)];
         for (int i = 0; i < entries.length; i++) {
             double startedMs = batch.f64();
             int zone = batch.u16();
@@ -220,10 +224,10 @@
             int cell = batch.u16();
             int id = batch.u32();
             double weight = batch.f32();
-            Status status = pick(STATUSES, batch.u8(), "status");
+            Status status = enumValue(STATUSES, batch.u8(), "status");
             entries[i] = new Upstream(id, status, startedMs, zone, kind, cell, Math.max(0, weight));
         }
-        banks.set(bank, List.of(entries));
+        lists.set(slot, List.of(entries));
     }
 
     private double[] report() throws IOException {
@@ -238,21 +242,21 @@
         return report;
     }
 
-    private static <T> T pick(T[] values, int code, String what) throws MalformedFrameException {
+    private static <T> T enumValue(T[] values, int code, String name) throws MalformedFrameException {
         if (code >= values.length) {
-            throw new MalformedFrameException("unknown " + what + " " + code);
+            throw new MalformedFrameException("unknown " + name + " " + code);
         }
         return values[code];
     }
 
-    /** An instance that has not started, has been killed or has failed hears nothing. */
-    private void tell(int instance, Balancer balancer, Runnable event) {
+    /** Passes an event to a balancer; drops it if the instance has not started, was removed or has failed. */
+    private void deliver(int instance, Balancer balancer, Runnable event) {
         if (balancer != null) {
-            guarded(instance, event);
+            runOrPanic(instance, event);
         }
     }
 
-    private void guarded(int instance, Runnable event) {
+    private void runOrPanic(int instance, Runnable event) {
         try {
             event.run();
         } catch (RuntimeException e) {
--- a/sidecar/src/main/java/gradehub/benchlink/MalformedFrameException.java
+++ b/sidecar/src/main/java/gradehub/benchlink/MalformedFrameException.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 
-/** Bytes that are no frame of the wire; the message says what is wrong and where. */
+/** Signals input that violates the simulator's binary protocol; the message names the fault and its position. */
 final class MalformedFrameException extends IOException {
 
     private static final long serialVersionUID = 1L;
--- a/sidecar/src/main/java/gradehub/benchlink/ReplyWriter.java
+++ b/sidecar/src/main/java/gradehub/benchlink/ReplyWriter.java
@@ -8,20 +8,20 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 
-/** Collects the actions of all instances for one batch and writes them as one frame. */
+/** Collects the actions of all instances for one batch and writes them as one reply frame. */
 final class ReplyWriter {
 
     private static final int LENGTH_BYTES = 4;
-    private static final int LONGEST_TEXT = 0xffff;
-    private static final int NOBODY = -1;
+    private static final int MAX_TEXT_BYTES = 0xffff;
+    private static final int NO_INSTANCE = -1;
 
-    private ByteBuffer buffer = little(new byte[1 << 16]);
-    private int speaker = NOBODY;
+    private ByteBuffer buffer = littleEndian(new byte[1 << 16]);
+    private int selectedInstance = NO_INSTANCE;
 
     void begin(int batchNumber) {
         buffer.clear();
         buffer.putInt(0).putInt(batchNumber);
-        speaker = NOBODY;
+        selectedInstance = NO_INSTANCE;
     }
 
     void writeTo(OutputStream out) throws IOException {
@@ -30,44 +30,44 @@
         out.flush();
     }
 
-    /** The module of this instance has failed; nothing else is said for it. */
+    /** Records that the balancer of this instance has failed; no further action of it follows. */
     void panic(int instance, String text) {
         text(instance, 10, text);
     }
 
-    /** The actions of one instance. */
+    /** Returns the actions of one instance, which append to this reply. */
     Balancer.Actions actionsOf(int instance) {
         return new InstanceActions(instance);
     }
 
     private void text(int instance, int code, String text) {
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
-        int length = Math.min(bytes.length, LONGEST_TEXT);
+        int length = Math.min(bytes.length, MAX_TEXT_BYTES);
         record(instance, code, 2 + length).putShort((short) length).put(bytes, 0, length);
     }
 
     private ByteBuffer record(int instance, int code, int fieldBytes) {
-        if (speaker != instance) {
-            speaker = instance;
-            room(4).putShort((short) 13).putShort((short) instance);
+        if (selectedInstance != instance) {
+            selectedInstance = instance;
+            ensureRemaining(4).putShort((short) 13).putShort((short) instance);
         }
-        return room(2 + fieldBytes).putShort((short) code);
+        return ensureRemaining(2 + fieldBytes).putShort((short) code);
     }
 
-    private ByteBuffer room(int bytes) {
+    private ByteBuffer ensureRemaining(int bytes) {
         if (buffer.remaining() < bytes) {
             int used = buffer.position();
-            buffer = little(Arrays.copyOf(buffer.array(), 2 * (used + bytes)));
+            buffer = littleEndian(Arrays.copyOf(buffer.array(), 2 * (used + bytes)));
             buffer.position(used);
         }
         return buffer;
     }
 
-    private static ByteBuffer little(byte[] bytes) {
+    private static ByteBuffer littleEndian(byte[] bytes) {
         return ByteBuffer.wrap(bytes).order(ByteOrder.LITTLE_ENDIAN);
     }
 
-    /** Writes the actions of one instance as records. */
+    /** Appends the actions of one instance as records. */
     private final class InstanceActions implements Balancer.Actions {
 
         private final int instance;
--- a/sidecar/src/test/java/gradehub/benchlink/BatchBuilder.java
+++ b/sidecar/src/test/java/gradehub/benchlink/BatchBuilder.java
@@ -7,7 +7,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.function.Consumer;
 
-/** Writes one batch as the simulator would. */
+/** Builds one batch of events as the simulator encodes it. */
 final class BatchBuilder {
     private final ByteBuffer body = ByteBuffer.allocate(1 << 20).order(ByteOrder.LITTLE_ENDIAN);
     private int records;
@@ -21,9 +21,9 @@
         return put(1, 12 + text.length, b -> b.putLong(seed).putInt(text.length).put(text));
     }
 
-    BatchBuilder upstreamList(int bank, int... upstreams) {
+    BatchBuilder upstreamList(int slot, int... upstreams) {
         return put(11, 5 + 22 * upstreams.length, b -> {
-            b.put((byte) bank).putInt(upstreams.length);
+            b.put((byte) slot).putInt(upstreams.length);
             for (int upstream : upstreams) {
                 b.putDouble(0)
                         .putShort((short) 0)
@@ -36,8 +36,8 @@
         });
     }
 
-    BatchBuilder listEvent(int mode, int bank) {
-        return put(2, 6, b -> b.put((byte) mode).putInt(1).put((byte) bank));
+    BatchBuilder listEvent(int kind, int slot) {
+        return put(2, 6, b -> b.put((byte) kind).putInt(1).put((byte) slot));
     }
 
     BatchBuilder request(int id) {
@@ -53,16 +53,16 @@
                         .putDouble(0));
     }
 
-    BatchBuilder attemptEnded(int id, int upstream, int leg, int code, boolean complete) {
+    BatchBuilder attemptEnded(int id, int upstream, int attempt, int outcome, boolean done) {
         return put(
                 5,
                 20,
                 b -> b.putInt(id)
                         .putDouble(20)
-                        .put((byte) (complete ? 1 : 0))
+                        .put((byte) (done ? 1 : 0))
                         .putInt(upstream)
-                        .put((byte) leg)
-                        .put((byte) code)
+                        .put((byte) attempt)
+                        .put((byte) outcome)
                         .put((byte) 0));
     }
 
@@ -70,18 +70,18 @@
         return put(10, 0, b -> {});
     }
 
-    BatchBuilder put(int code, int bytes, Consumer<ByteBuffer> fields) {
-        int before = body.position();
+    BatchBuilder put(int code, int fieldBytes, Consumer<ByteBuffer> fields) {
+        int start = body.position();
         body.putShort((short) code);
         fields.accept(body);
-        assertEquals(2 + bytes, body.position() - before, "record " + code);
+        assertEquals(2 + fieldBytes, body.position() - start, "record " + code);
         records++;
         return this;
     }
 
-    byte[] bytes(double now, int number) {
+    byte[] toBytes(double nowMs, int batchNumber) {
         ByteBuffer frame = ByteBuffer.allocate(20 + body.position()).order(ByteOrder.LITTLE_ENDIAN);
-        frame.putDouble(now).putInt(8 + body.position()).putInt(records).putInt(number);
+        frame.putDouble(nowMs).putInt(8 + body.position()).putInt(records).putInt(batchNumber);
         return frame.put(body.array(), 0, body.position()).array();
     }
 }
--- a/sidecar/src/test/java/gradehub/benchlink/BenchLinkTest.java
+++ b/sidecar/src/test/java/gradehub/benchlink/BenchLinkTest.java
@@ -22,7 +22,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Frames byte for byte, malformed input, and the main class over real streams. */
+/** The encoding of frames, the errors for malformed input, and the main class with its standard streams. */
 class BenchLinkTest {
 
     private static final String SETTINGS = """
@@ -83,7 +83,7 @@
                 .instance(3)
                 .startInstance(1, SETTINGS)
                 .put(7, 4, b -> b.putInt(77))
-                .bytes(1, 12);
+                .toBytes(1, 12);
         String expected = "0c000000" + "0d000300"
                 + "0100c4913a5d0000000000005440074a1203"
                 + "04000700000002"
@@ -101,7 +101,7 @@
     }
 
     @Test
-    void aRequestIsSentAndReusedListNumbersAreTakenInOrder() throws IOException {
+    void requestsAreSentToUpstreamsOfTheListLastStoredInAReusedSlot() throws IOException {
         byte[] input = new BatchBuilder()
                 .instance(0)
                 .startInstance(1, SETTINGS)
@@ -115,7 +115,7 @@
                 .request(1)
                 .instance(1)
                 .request(1)
-                .bytes(100, 1);
+                .toBytes(100, 1);
         String reply = HexFormat.of().formatHex(run(input));
         assertTrue(reply.contains("29000000") && reply.contains("2a000000"), reply);
         int first = reply.indexOf("010001000000");
@@ -124,49 +124,51 @@
     }
 
     @Test
-    void theActionsOfAnInstanceDoNotDependOnItsNeighbours() throws IOException {
+    void theActionsOfAnInstanceDoNotDependOnOtherInstances() throws IOException {
         List<byte[]> together = new ArrayList<>();
         List<byte[]> alone = new ArrayList<>();
         for (int batch = 1; batch < 40; batch++) {
             BatchBuilder both = new BatchBuilder();
             BatchBuilder one = new BatchBuilder();
             for (int instance = 0; instance < 2; instance++) {
-                for (BatchBuilder frame : instance == 0 ? List.of(both) : List.of(both, one)) {
-                    frame.instance(instance);
+                for (BatchBuilder builder : instance == 0 ? List.of(both) : List.of(both, one)) {
+                    builder.instance(instance);
                     if (batch == 1) {
-                        frame.startInstance(instance, SETTINGS)
+                        builder.startInstance(instance, SETTINGS)
                                 .upstreamList(1, 1, 2, 3)
                                 .listEvent(2, 1);
                     } else {
-                        frame.request(batch);
+                        builder.request(batch);
                     }
                 }
             }
-            together.add(both.bytes(batch, batch));
-            alone.add(one.bytes(batch, batch));
+            together.add(both.toBytes(batch, batch));
+            alone.add(one.toBytes(batch, batch));
         }
-        List<String> beside = actionsOf(1, run(join(together.toArray(new byte[0][]))));
-        assertTrue(beside.size() > 12, "the first window of each upstream is sent: " + beside.size());
-        assertEquals(actionsOf(1, run(join(alone.toArray(new byte[0][])))), beside);
+        List<String> amongOthers = actionsOf(1, run(join(together.toArray(new byte[0][]))));
+        assertTrue(
+                amongOthers.size() > 12,
+                "requests are sent up to the initial concurrency limits: " + amongOthers.size());
+        assertEquals(actionsOf(1, run(join(alone.toArray(new byte[0][])))), amongOthers);
     }
 
-    /** The records of one instance, in hexadecimal. */
+    /** Returns the action records of one instance, in hexadecimal. */
     private static List<String> actionsOf(int instance, byte[] replies) {
         int[] sizes = {0, 18, 14, 6, 7, 14, 6, 6, 0, 4, 4, 3, 2, 4};
         List<String> records = new ArrayList<>();
         ByteBuffer in = ByteBuffer.wrap(replies).order(ByteOrder.LITTLE_ENDIAN);
         while (in.hasRemaining()) {
             int end = in.getInt(in.position()) + 4 + in.position();
-            int speaker = -1;
-            for (int at = in.position() + 8; at < end; ) {
-                int code = in.getShort(at);
-                int size = sizes[code] + (code == 9 || code == 10 ? in.getShort(at + 2) : 0);
+            int selectedInstance = -1;
+            for (int offset = in.position() + 8; offset < end; ) {
+                int code = in.getShort(offset);
+                int size = sizes[code] + (code == 9 || code == 10 ? in.getShort(offset + 2) : 0);
                 if (code == 13) {
-                    speaker = in.getShort(at + 2);
-                } else if (speaker == instance) {
-                    records.add(HexFormat.of().formatHex(replies, at, at + size));
+                    selectedInstance = in.getShort(offset + 2);
+                } else if (selectedInstance == instance) {
+                    records.add(HexFormat.of().formatHex(replies, offset, offset + size));
                 }
-                at += size;
+                offset += size;
             }
             in.position(end);
         }
@@ -174,7 +176,7 @@
     }
 
     @Test
-    void eventsAfterATeardownAreIgnoredAndAFreshStartKnowsNothing() throws IOException {
+    void eventsAfterTheRemovalOfAnInstanceAreIgnored() throws IOException {
         byte[] input = new BatchBuilder()
                 .instance(0)
                 .startInstance(1, SETTINGS)
@@ -182,12 +184,12 @@
                 .listEvent(2, 0)
                 .removeInstance()
                 .request(1)
-                .bytes(100, 1);
+                .toBytes(100, 1);
         assertEquals("0400000001000000", HexFormat.of().formatHex(run(input)));
     }
 
     @Test
-    void anExceptionOfTheModuleBecomesAPanic() throws IOException {
+    void anExceptionOfTheBalancerBecomesAPanicAction() throws IOException {
         BenchLink.Factory factory = (settings, seed, actions) -> new NoOpBalancer() {
             @Override
             public void timer(double nowMs, int token) {
@@ -198,44 +200,44 @@
                 .instance(3)
                 .startInstance(1, SETTINGS)
                 .put(7, 4, b -> b.putInt(1))
-                .bytes(1, 1);
+                .toBytes(1, 1);
         assertTrue(HexFormat.of().formatHex(run(factory, input)).endsWith("0d000300" + "0a000400" + "626f6f6d"));
     }
 
     @Test
-    void missingOrUnreadableSettingsAreNamed() {
+    void errorsNameMissingOrUnreadableSettings() {
         assertMalformed(
                 "record 1 at byte 24: settings: at least one request class is needed",
-                new BatchBuilder().instance(0).startInstance(1, "").bytes(1, 1));
+                new BatchBuilder().instance(0).startInstance(1, "").toBytes(1, 1));
         assertMalformed(
                 "lanes.0.hardLimitMs is missing",
                 new BatchBuilder()
                         .instance(0)
                         .startInstance(1, "lanes.count=1\n")
-                        .bytes(1, 1));
+                        .toBytes(1, 1));
         assertMalformed(
                 "lanes.count is not a number: one",
                 new BatchBuilder()
                         .instance(0)
                         .startInstance(1, "lanes.count=one\n")
-                        .bytes(1, 1));
+                        .toBytes(1, 1));
         assertMalformed(
                 "is not a number: soon",
                 new BatchBuilder()
                         .instance(0)
                         .startInstance(1, SETTINGS.replace("4000.0", "soon"))
-                        .bytes(1, 1));
+                        .toBytes(1, 1));
     }
 
     @Test
-    void unknownSettingsArePassedOver() throws IOException {
+    void unknownSettingsAreIgnored() throws IOException {
         byte[] plain = run(new BatchBuilder()
                 .instance(0)
                 .startInstance(1, SETTINGS)
                 .upstreamList(0, 41)
                 .listEvent(2, 0)
                 .request(1)
-                .bytes(5, 1));
+                .toBytes(5, 1));
         assertArrayEquals(
                 plain,
                 run(new BatchBuilder()
@@ -244,12 +246,12 @@
                         .upstreamList(0, 41)
                         .listEvent(2, 0)
                         .request(1)
-                        .bytes(5, 1)));
+                        .toBytes(5, 1)));
     }
 
     @Test
-    void malformedFramesNameWhatAndWhere() {
-        byte[] good = new BatchBuilder().instance(0).request(1).bytes(1, 9);
+    void errorsNameTheFaultAndPositionInMalformedFrames() {
+        byte[] good = new BatchBuilder().instance(0).request(1).toBytes(1, 9);
         assertMalformed("header bytes", Arrays.copyOf(good, 7));
         assertMalformed("input ends", Arrays.copyOf(good, good.length - 3));
         byte[] shorter = Arrays.copyOf(good, good.length - 3);
@@ -260,15 +262,15 @@
         assertMalformed("length field", huge);
         assertMalformed(
                 "unknown event code 99",
-                new BatchBuilder().instance(0).put(99, 0, b -> {}).bytes(1, 1));
-        assertMalformed("before any instance", new BatchBuilder().request(1).bytes(1, 1));
-        byte[] fewer = new BatchBuilder().instance(0).request(1).bytes(1, 1);
+                new BatchBuilder().instance(0).put(99, 0, b -> {}).toBytes(1, 1));
+        assertMalformed("before any instance", new BatchBuilder().request(1).toBytes(1, 1));
+        byte[] fewer = new BatchBuilder().instance(0).request(1).toBytes(1, 1);
         fewer[12] = 1;
         assertMalformed("follow the last record", fewer);
     }
 
     @Test
-    void unknownClassesAndOutcomesAreNamed() {
+    void errorsNameUnknownClassesAndOutcomes() {
         assertMalformed(
                 "unknown class 7",
                 new BatchBuilder()
@@ -284,23 +286,23 @@
                                         .putDouble(100)
                                         .putInt(0)
                                         .putDouble(0))
-                        .bytes(1, 1));
+                        .toBytes(1, 1));
         assertMalformed(
                 "outcome 9",
-                new BatchBuilder().instance(0).attemptEnded(1, 1, 0, 9, true).bytes(1, 1));
+                new BatchBuilder().instance(0).attemptEnded(1, 1, 0, 9, true).toBytes(1, 1));
     }
 
     @Test
-    void malformedListsOfUpstreamsAreNamed() {
+    void errorsNameTheFaultInMalformedLists() {
         assertMalformed(
                 "list number 16",
                 new BatchBuilder()
                         .instance(0)
                         .put(11, 5, b -> b.put((byte) 16).putInt(0))
-                        .bytes(1, 1));
+                        .toBytes(1, 1));
         assertMalformed(
                 "unknown list kind 4",
-                new BatchBuilder().instance(0).listEvent(4, 0).bytes(1, 1));
+                new BatchBuilder().instance(0).listEvent(4, 0).toBytes(1, 1));
         assertMalformed(
                 "unknown status 3",
                 new BatchBuilder()
@@ -317,13 +319,13 @@
                                         .putInt(1)
                                         .putFloat(1)
                                         .put((byte) 3))
-                        .bytes(1, 1));
+                        .toBytes(1, 1));
         assertMalformed(
                 "past the end",
                 new BatchBuilder()
                         .instance(0)
                         .put(11, 5, b -> b.put((byte) 0).putInt(-1))
-                        .bytes(1, 1));
+                        .toBytes(1, 1));
     }
 
     private static void assertMalformed(String part, byte[] input) {
@@ -332,7 +334,7 @@
     }
 
     @Test
-    void theMainClassRunsOverRealStreams(@TempDir Path dir) throws Exception {
+    void theMainClassReadsStandardInputAndWritesStandardOutput(@TempDir Path dir) throws Exception {
         byte[] good = join(
                 new BatchBuilder()
                         .instance(0)
@@ -340,27 +342,27 @@
                         .upstreamList(0, 41)
                         .listEvent(2, 0)
                         .request(1)
-                        .bytes(5, 1),
-                new BatchBuilder().bytes(10, 2));
-        Result fine = launch(dir, good);
-        assertEquals(0, fine.exit);
-        assertEquals("", fine.err);
-        assertArrayEquals(run(good), fine.out);
-        Result cut = launch(dir, join(good, new byte[] {1, 2, 3}));
-        assertTrue(cut.exit != 0);
-        assertArrayEquals(fine.out, cut.out, "nothing more after the malformed frame");
-        assertEquals("gradehub: input ends after 3 of 20 header bytes", cut.err.trim());
-        Result unset = launch(
+                        .toBytes(5, 1),
+                new BatchBuilder().toBytes(10, 2));
+        Result complete = launch(dir, good);
+        assertEquals(0, complete.exit);
+        assertEquals("", complete.err);
+        assertArrayEquals(run(good), complete.out);
+        Result truncated = launch(dir, join(good, new byte[] {1, 2, 3}));
+        assertTrue(truncated.exit != 0);
+        assertArrayEquals(complete.out, truncated.out, "no output after the malformed frame");
+        assertEquals("gradehub: input ends after 3 of 20 header bytes", truncated.err.trim());
+        Result missingSetting = launch(
                 dir,
                 new BatchBuilder()
                         .instance(0)
                         .startInstance(1, "lanes.count=1\n")
-                        .bytes(1, 1));
-        assertTrue(unset.exit != 0);
-        assertEquals(0, unset.out.length);
+                        .toBytes(1, 1));
+        assertTrue(missingSetting.exit != 0);
+        assertEquals(0, missingSetting.out.length);
         assertEquals(
                 "gradehub: batch 1, record 1 at byte 24: settings: setting lanes.0.hardLimitMs is missing",
-                unset.err.trim());
+                missingSetting.err.trim());
     }
 
     private record Result(int exit, byte[] out, String err) {}
