--- a/sidecar/src/main/java/gradehub/AdmissionControl.java
+++ b/sidecar/src/main/java/gradehub/AdmissionControl.java
@@ -55,7 +55,7 @@
 
     /** Whether a request hardly earns: there is too little time left, for its class or by its hint. */
     static boolean isTooLate(double nowMs, Call call) {
-        return call.usefulUntilMs - nowMs <= Math.max(call.stats.typicalMs / 2, call.costMs);
+        return call.deadlineMs - nowMs <= Math.max(call.stats.medianMs / 2, call.costMs);
     }
 
     /** Whether a request is refused, by a draw from 0 to 1, since most attempts come late. */
@@ -71,15 +71,15 @@
             return null;
         }
         Call least = waiting.stream()
-                .min(Comparator.comparingDouble(Call::worthPerMs))
+                .min(Comparator.comparingDouble(Call::valuePerMs))
                 .orElse(call);
-        if (least.worthPerMs() >= call.worthPerMs()) {
+        if (least.valuePerMs() >= call.valuePerMs()) {
             double best = classes.stream()
                     .filter(stats -> stats.offered > 0)
-                    .mapToDouble(stats -> worth(stats) / stats.typicalMs)
+                    .mapToDouble(stats -> worth(stats) / stats.medianMs)
                     .max()
                     .orElse(0);
-            least = left < kept * (1 - call.worthPerMs() / best) ? call : null;
+            least = left < kept * (1 - call.valuePerMs() / best) ? call : null;
         }
         yielded += least == null ? 0 : 1;
         return least;
--- a/sidecar/src/main/java/gradehub/Attempt.java
+++ b/sidecar/src/main/java/gradehub/Attempt.java
@@ -6,7 +6,7 @@
     final Call call;
     final int number;
     final UpstreamState upstream;
-    final Balancer.Upstream sentTo; // the list entry at the time: it names the group that drops repeats
+    final Balancer.Upstream upstreamEntry; // as listed when sent: names the deduplication group
     final double sentMs;
     final double timeoutMs;
     Balancer.Outcome outcome; // null while it is out
@@ -15,7 +15,7 @@
         this.call = call;
         this.number = call.attempts.size();
         this.upstream = upstream;
-        this.sentTo = upstream.listed;
+        this.upstreamEntry = upstream.listed;
         this.sentMs = sentMs;
         this.timeoutMs = timeoutMs;
     }
@@ -35,8 +35,8 @@
     boolean inGroup(Balancer.Group group, Balancer.Upstream other) {
         return switch (group) {
             case ALL -> true;
-            case ZONE -> sentTo.zone() == other.zone();
-            case CELL -> sentTo.cell() == other.cell();
+            case ZONE -> upstreamEntry.zone() == other.zone();
+            case CELL -> upstreamEntry.cell() == other.cell();
         };
     }
 }
--- a/sidecar/src/main/java/gradehub/LoadShares.java
+++ b/sidecar/src/main/java/gradehub/LoadShares.java
@@ -19,40 +19,40 @@
     private LoadShares() {}
 
     /** Moves the members' shares toward equal latency, by the samples of the tick that ends. */
-    static void shift(double nowMs, List<UpstreamState> members) {
+    static void update(double nowMs, List<UpstreamState> members) {
         double sum = 0;
         double trusts = 0;
         for (UpstreamState member : members) {
             measure(nowMs, member);
-            sum += member.trust * member.tickLatency;
-            trusts += member.trust;
+            sum += member.confidence * member.meanLatencyRatio;
+            trusts += member.confidence;
         }
         for (UpstreamState member : members) {
-            if (member.trust > 0) {
-                double deviation = Math.min(MOST_DEVIATION, member.tickLatency * trusts / sum - 1);
-                double moved = member.share * (1 - STEP * member.trust * deviation);
+            if (member.confidence > 0) {
+                double deviation = Math.min(MOST_DEVIATION, member.meanLatencyRatio * trusts / sum - 1);
+                double moved = member.share * (1 - STEP * member.confidence * deviation);
                 member.share = Math.max(moved, LEAST_SHARE / members.size());
             }
             double kept = KEEP * Math.max(0, 1 - member.samples / ENOUGH);
-            member.latencySum *= kept;
+            member.latencyRatioSum *= kept;
             member.samples *= kept;
         }
         normalise(members);
     }
 
     private static void measure(double nowMs, UpstreamState member) {
-        double latencySum = member.latencySum;
+        double latencyRatioSum = member.latencyRatioSum;
         double samples = member.samples;
         for (Attempt attempt : member.attempts) {
             // A hung upstream answers nothing: what is in flight for longer than usual counts by its age.
-            double ratio = (nowMs - attempt.sentMs) / attempt.call.stats.typicalMs;
+            double ratio = (nowMs - attempt.sentMs) / attempt.call.stats.medianMs;
             if (ratio > 1) {
-                latencySum += ratio;
+                latencyRatioSum += ratio;
                 samples++;
             }
         }
-        member.tickLatency = latencySum / Math.max(samples, Double.MIN_NORMAL);
-        member.trust = samples / (samples + HALF_TRUST);
+        member.meanLatencyRatio = latencyRatioSum / Math.max(samples, Double.MIN_NORMAL);
+        member.confidence = samples / (samples + HALF_TRUST);
     }
 
     /** Scales the members' shares to a sum of 1. */
--- a/sidecar/src/main/java/gradehub/LoadShedder.java
+++ b/sidecar/src/main/java/gradehub/LoadShedder.java
@@ -14,14 +14,14 @@
     private static final double LONGEST_CALL = 0.65; // of the aim, for that
 
     final TreeSet<Call> waiting = new TreeSet<>(
-            Comparator.comparingDouble((Call call) -> -call.value).thenComparingLong(call -> -call.order));
+            Comparator.comparingDouble((Call call) -> -call.value).thenComparingLong(call -> -call.arrival));
     private int shed; // in this tick
     private boolean shedding;
 
     /** Takes out what could no longer earn until the next control tick, for the caller to refuse. */
     List<Call> shed(double nowMs, double controlMs) {
         List<Call> late = waiting.stream()
-                .filter(call -> call.usefulUntilMs - nowMs <= Math.max(controlMs, lastCallMs(call.stats)))
+                .filter(call -> call.deadlineMs - nowMs <= Math.max(controlMs, lastCallMs(call.stats)))
                 .toList();
         shed += late.size();
         late.forEach(waiting::remove);
@@ -31,7 +31,7 @@
     /** The client holds a connection for what waits; but where all is slow the worthiest come first. */
     private static double lastCallMs(ClassStats stats) {
         double mostMs = LONGEST_CALL * stats.spec.aimMs();
-        return Math.max(stats.typicalMs, Math.min(LAST_CALL * stats.typicalMs, mostMs));
+        return Math.max(stats.medianMs, Math.min(LAST_CALL * stats.medianMs, mostMs));
     }
 
     boolean hasShed() {
--- a/sidecar/src/main/java/gradehub/LoadShiftingBalancer.java
+++ b/sidecar/src/main/java/gradehub/LoadShiftingBalancer.java
@@ -15,7 +15,7 @@
  */
 public final class LoadShiftingBalancer implements Balancer {
 
-    static final double TICK_MS = 1000; // many answers fall into it, and moved load shows within it
+    static final double SHARE_TICK_MS = 1000; // many answers fall into it, and moved load shows within it
     private static final double BARELY = 2; // typical latencies: a shorter time-out is no failure
     private static final double REPEAT_WORTH = 0.1; // of a first try: the aim has run since that
 
@@ -76,7 +76,7 @@
         stats.offered++;
         double value = admission.worth(stats) * (request.repeat() || elapsedMs > 0 ? REPEAT_WORTH : 1);
         Call call = new Call(request, stats, value, received++, nowMs + aimMs, nowMs + usefulMs);
-        call.firstMs = nowMs - elapsedMs;
+        call.firstArrivalMs = nowMs - elapsedMs;
         calls.put(call.id, call);
         slowStart.requested(call.costMs);
         retries.requested();
@@ -105,8 +105,8 @@
         UpstreamState upstream = pick(nowMs, call);
         if (probesLoad
                 && upstream != null
-                && call.probes < Call.MOST_PROBES
-                && nowMs - upstream.reportMs > settings.tickMs()) {
+                && call.probes < Call.MAX_PROBES
+                && nowMs - upstream.loadUpdatedMs > settings.tickMs()) {
             call.probe(upstream, nowMs);
             awaitingProbe.add(call);
             actions.probe(upstream.id);
@@ -126,7 +126,7 @@
         UpstreamState drawn = null; // each replaces the one before with its part of the sum so far
         double sum = 0;
         for (UpstreamState upstream : members) {
-            boolean tried = call.attempts.size() < members.size() && call.tried(upstream);
+            boolean tried = call.attempts.size() < members.size() && call.hasTried(upstream);
             boolean excluded = tried || avoid && ejection.excludes(nowMs, upstream, call.stats);
             if (!excluded && fit(nowMs, call, upstream)) {
                 double weight = upstream.share * slowStart.warmth(nowMs, upstream.listed);
@@ -142,25 +142,25 @@
         return retries.allowsAt(nowMs, call, upstream)
                 && upstream.limit.admits(nowMs, upstream.inFlight, warmth)
                 && (warmth >= 1 || admitsCold(nowMs, call, upstream, warmth))
-                && !call.wouldBeLateAt(nowMs, upstream);
+                && !call.wouldMissAim(nowMs, upstream);
     }
 
     private boolean admitsCold(double nowMs, Call call, UpstreamState upstream, double warmth) {
-        double part = list.weightPart(upstream);
+        double part = list.weightFraction(upstream);
         return call.attempts.isEmpty() && slowStart.admits(nowMs, upstream.slowStartBudget, warmth, part);
     }
 
     private void send(double nowMs, Call call, UpstreamState upstream) {
         retries.sending(call);
-        call.begin(upstream, nowMs);
+        call.startAttempt(upstream, nowMs);
         slowStart.sent(upstream.slowStartBudget, call.costMs);
         ejection.sent(nowMs, upstream, call.stats);
-        actions.send(call.id, upstream.id, call.usefulUntilMs - nowMs);
+        actions.send(call.id, upstream.id, call.deadlineMs - nowMs);
     }
 
     private void shareTick(double nowMs) {
-        nextShareTickMs = nowMs + TICK_MS;
-        LoadShares.shift(nowMs, members);
+        nextShareTickMs = nowMs + SHARE_TICK_MS;
+        LoadShares.update(nowMs, members);
         // Slow with single attempts: after a while that is taken for the servers' latency, not for a queue.
         boolean starved = shedder.hasShed() && members.stream().allMatch(member -> member.limit.isSingle());
         classes.forEach(stats -> stats.tick(starved));
@@ -179,7 +179,7 @@
         }
         attempt.end(end.outcome());
         if (end.report().length > 0) {
-            attempt.upstream.report(nowMs, 1 + settings.requestsIn(end.report()));
+            attempt.upstream.updateLoad(nowMs, 1 + settings.requestsIn(end.report()));
         }
         if (!call.streaming) {
             learn(nowMs, attempt, end.outcome(), end.elapsedMs());
@@ -202,31 +202,31 @@
             ejection.answered(nowMs, upstream, members.size());
             ejection.served(upstream, stats);
             attempt.call.served = true;
-            stats.answered(latencyMs);
-            upstream.served(latencyMs / stats.quietMs());
-        } else if (how == Outcome.NOT_SENT || how == Outcome.CANCELLED && latencyMs < stats.typicalMs) {
+            stats.recordAnswer(latencyMs);
+            upstream.recordLatencyRatio(latencyMs / stats.baselineMs());
+        } else if (how == Outcome.NOT_SENT || how == Outcome.CANCELLED && latencyMs < stats.medianMs) {
             return;
         } else if (how != Outcome.CANCELLED) {
             // A failure counts at its time-out: else an upstream that fails at once would draw load.
             latencyMs = Math.max(latencyMs, attempt.timeoutMs);
             if (how == Outcome.TIMEOUT) {
-                stats.moveTypical(latencyMs); // else a jammed fleet, all time-outs, looks quiet
+                stats.updateMedian(latencyMs); // else a jammed fleet, all time-outs, looks quiet
             }
             // That a client has little patience says nothing against an upstream.
-            boolean impatient = how == Outcome.TIMEOUT && latencyMs < BARELY * stats.typicalMs;
+            boolean impatient = how == Outcome.TIMEOUT && latencyMs < BARELY * stats.medianMs;
             if (!impatient) {
                 ejection.failed(nowMs, upstream, stats);
             }
         }
         admission.attemptEnded(how == Outcome.OK && latencyMs <= stats.spec.aimMs());
-        upstream.latencySum += latencyMs / stats.typicalMs;
+        upstream.latencyRatioSum += latencyMs / stats.medianMs;
         upstream.samples++;
         if (how != Outcome.RESET) {
             // A broken connection says nothing of a queue: the share and the streak of failures answer to it.
-            guess(nowMs, upstream, latencyMs / stats.quietMs());
-            double minimum = Math.min(1, list.firstInFlight() / 2);
+            guess(nowMs, upstream, latencyMs / stats.baselineMs());
+            double minimum = Math.min(1, list.initialConcurrency() / 2);
             upstream.limit.adjust(
-                    nowMs, upstream.inFlight, upstream.headroom(stats, latencyMs), minimum, stats.typicalMs);
+                    nowMs, upstream.inFlight, upstream.headroom(stats, latencyMs), minimum, stats.medianMs);
         }
     }
 
@@ -241,7 +241,7 @@
 
     private void finish(Call call) {
         if (!call.done && !call.served) {
-            call.stats.unserved.note(call.firstMs);
+            call.stats.unservedRequests.add(call.firstArrivalMs);
         }
         call.done = true;
         cancelOthers(call, null);
@@ -282,7 +282,7 @@
     }
 
     private boolean sparse() {
-        return !probesLoad && list.firstInFlight() < 1;
+        return !probesLoad && list.initialConcurrency() < 1;
     }
 
     @Override
@@ -290,18 +290,18 @@
         UpstreamState probed = list.find(upstream);
         if (probed != null && outcome == Outcome.OK) {
             ejection.answered(nowMs, probed, members.size());
-            probed.report(nowMs, 1 + settings.requestsIn(report));
+            probed.updateLoad(nowMs, 1 + settings.requestsIn(report));
         } else if (probed != null) {
-            probed.report(nowMs, Double.MAX_VALUE); // until it has answered another probe
+            probed.updateLoad(nowMs, Double.MAX_VALUE); // until it has answered another probe
             ejection.eject(nowMs, probed, "a probe found it out of reach");
         }
-        resume(nowMs, call -> call.probed == probed);
+        resume(nowMs, call -> call.probedUpstream == probed);
     }
 
     /** Without a report: many sidecars with few attempts see no queue but by what the latest attempt took. */
     private void guess(double nowMs, UpstreamState upstream, double load) {
-        if (upstream.reportMs < nowMs && sparse()) {
-            upstream.report(nowMs, load);
+        if (upstream.loadUpdatedMs < nowMs && sparse()) {
+            upstream.updateLoad(nowMs, load);
         }
     }
 
@@ -309,8 +309,8 @@
         List<Call> ready = awaitingProbe.stream().filter(due).toList();
         awaitingProbe.removeAll(ready);
         for (Call call : ready) {
-            UpstreamState upstream = call.probed;
-            boolean heard = upstream.ready() && nowMs - upstream.reportMs <= settings.tickMs();
+            UpstreamState upstream = call.probedUpstream;
+            boolean heard = upstream.isReady() && nowMs - upstream.loadUpdatedMs <= settings.tickMs();
             if (heard && !ejection.excludes(nowMs, upstream, call.stats) && fit(nowMs, call, upstream)) {
                 send(nowMs, call, upstream);
             } else {
@@ -341,7 +341,7 @@
                 continue;
             }
             double ageMs = nowMs - oldest.sentMs;
-            guess(nowMs, upstream, Math.max(upstream.load, ageMs / oldest.call.stats.quietMs()));
+            guess(nowMs, upstream, Math.max(upstream.load, ageMs / oldest.call.stats.baselineMs()));
             ejection.checkSilence(nowMs, upstream, oldest);
             if (upstream.probation.ejected && settings.limits().secondCopies() && waiting.isEmpty()) {
                 for (Attempt attempt : upstream.attempts) {
@@ -354,7 +354,7 @@
     /** A second copy of what is stuck at an ejected upstream: where class, budget and spare room allow it. */
     private void copy(double nowMs, Attempt stuck) {
         Call call = stuck.call;
-        boolean due = !call.done && call.inFlight == 1 && nowMs - stuck.sentMs > call.stats.typicalMs;
+        boolean due = !call.done && call.inFlight == 1 && nowMs - stuck.sentMs > call.stats.medianMs;
         boolean allowed = due && retries.allows(nowMs, call, settings.limits().maxAttempts());
         UpstreamState other = allowed ? pick(nowMs, call) : null;
         if (other != null && other != stuck.upstream) {
@@ -395,7 +395,7 @@
             serveWaiting(nowMs);
         } else if (!subscribeArmed) {
             subscribeArmed = true; // ever later, at random times: many sidecars ask one service
-            double longestMs = Math.min(ListTimes.PAUSE_MS, TICK_MS / 4 * (1 << listFailures));
+            double longestMs = Math.min(ListTimes.PAUSE_MS, SHARE_TICK_MS / 4 * (1 << listFailures));
             listFailures = Math.min(5, listFailures + 1);
             actions.timer(longestMs * (1 + random.nextDouble()) / 2, SUBSCRIBE_TIMER);
         }
--- a/sidecar/src/main/java/gradehub/OutlierEjection.java
+++ b/sidecar/src/main/java/gradehub/OutlierEjection.java
@@ -51,7 +51,7 @@
     }
 
     void answered(double nowMs, UpstreamState upstream, int members) {
-        upstream.heardMs = nowMs;
+        upstream.lastAnswerMs = nowMs;
         upstream.probation.failures = 0;
         if (upstream.probation.ejected) {
             upstream.probation.ejected = false;
@@ -62,10 +62,10 @@
 
     /** Ejects an upstream that is silent for too long; {@code oldest} is its oldest attempt in flight. */
     void checkSilence(double nowMs, UpstreamState upstream, Attempt oldest) {
-        double silentMs = nowMs - Math.max(upstream.heardMs, oldest.sentMs);
+        double silentMs = nowMs - Math.max(upstream.lastAnswerMs, oldest.sentMs);
         // One attempt alone is often slow by chance; several that wait together hardly are.
-        double enough = Math.max(SILENCE, oldest.call.stats.tail) / upstream.inFlight;
-        if (silentMs > Math.max(LEAST_SILENCE, enough) * oldest.call.stats.typicalMs) {
+        double enough = Math.max(SILENCE, oldest.call.stats.tailRatio) / upstream.inFlight;
+        if (silentMs > Math.max(LEAST_SILENCE, enough) * oldest.call.stats.medianMs) {
             eject(nowMs, upstream, "silent for " + Math.round(silentMs) + " ms");
         }
     }
--- a/sidecar/src/main/java/gradehub/RetryPolicy.java
+++ b/sidecar/src/main/java/gradehub/RetryPolicy.java
@@ -24,7 +24,7 @@
     boolean allows(double nowMs, Call call, int maxAttempts) {
         return budget >= 1
                 && call.attempts.size() < maxAttempts
-                && call.usefulUntilMs - nowMs >= call.stats.typicalMs
+                && call.deadlineMs - nowMs >= call.stats.medianMs
                 && (call.stats.spec.effect() != Balancer.Effect.UNSAFE || call.provenNotRun());
     }
 
--- a/sidecar/src/main/java/gradehub/SlowStart.java
+++ b/sidecar/src/main/java/gradehub/SlowStart.java
@@ -11,7 +11,7 @@
 final class SlowStart {
 
     private static final double MOST_RATE = 1.5; // of what a warm member of the size is sent
-    private static final double SAVED_MS = LoadShiftingBalancer.TICK_MS / 4; // of which tokens are saved
+    private static final double SAVED_MS = LoadShiftingBalancer.SHARE_TICK_MS / 4; // worth of saved tokens
 
     private final Balancer.Contract contract;
     private final double rate;
@@ -55,7 +55,7 @@
     }
 
     void tick() {
-        sentPerMs = (sentPerMs + sent / LoadShiftingBalancer.TICK_MS) / 2;
+        sentPerMs = (sentPerMs + sent / LoadShiftingBalancer.SHARE_TICK_MS) / 2;
         sent = 0;
     }
 }
--- a/sidecar/src/main/java/gradehub/UpstreamList.java
+++ b/sidecar/src/main/java/gradehub/UpstreamList.java
@@ -43,7 +43,7 @@
             }
             known.listed = entry;
         }
-        members.removeIf(upstream -> !upstream.ready());
+        members.removeIf(upstream -> !upstream.isReady());
         upstreams.removeIf(upstream -> upstream.listed.status() == Status.GONE);
         byId.values().removeIf(upstream -> upstream.listed.status() == Status.GONE);
         fillSubset(nowMs);
@@ -56,7 +56,7 @@
     /** A member that drains or is gone gives way to a random ready upstream, at the mean share. */
     private void fillSubset(double nowMs) {
         List<UpstreamState> candidates = new ArrayList<>(upstreams);
-        candidates.removeIf(upstream -> !upstream.ready() || members.contains(upstream));
+        candidates.removeIf(upstream -> !upstream.isReady() || members.contains(upstream));
         LoadShares.normalise(members);
         double weights = members.stream()
                 .mapToDouble(upstream -> upstream.listed.weight())
@@ -65,18 +65,18 @@
             UpstreamState upstream = candidates.remove(random.nextInt(candidates.size()));
             boolean full = members.size() >= subsetSize();
             // A new upstream takes a member's place as often as an even cover of the fleet asks for.
-            if (full && !upstream.weighed && random.nextInt(upstreams.size()) < members.size()) {
+            if (full && !upstream.consideredForSubset && random.nextInt(upstreams.size()) < members.size()) {
                 members.remove(random.nextInt(members.size()));
                 full = false;
             }
             if (!full) {
-                upstream.limit.start(firstInFlight());
+                upstream.limit.start(initialConcurrency());
                 upstream.share = (upstream.listed.weight() + Double.MIN_NORMAL) / (weights > 0 ? weights : 1);
                 // Not one at once from each of many sidecars.
                 upstream.slowStartBudget.start(nowMs, random.nextDouble());
                 members.add(upstream);
             }
-            upstream.weighed = true;
+            upstream.consideredForSubset = true;
         }
         LoadShares.normalise(members);
     }
@@ -86,12 +86,12 @@
     }
 
     /** This sidecar's part of the attempts that an upstream not known yet may have, as if all were alike. */
-    double firstInFlight() {
+    double initialConcurrency() {
         double fleet = upstreams.size();
         return FIRST_IN_FLIGHT * fleet / (sidecars * Math.min(subsetSize(), fleet));
     }
 
-    double weightPart(UpstreamState upstream) {
+    double weightFraction(UpstreamState upstream) {
         double weights =
                 members.stream().mapToDouble(member -> member.listed.weight()).sum();
         return weights > 0 ? upstream.listed.weight() / weights : 1.0 / members.size();
--- a/sidecar/src/main/java/gradehub/UpstreamState.java
+++ b/sidecar/src/main/java/gradehub/UpstreamState.java
@@ -11,20 +11,20 @@
 
     final int id;
     Balancer.Upstream listed; // what discovery said last
-    boolean weighed; // whether it was a candidate for the subset before
+    boolean consideredForSubset; // whether it was a candidate for the subset before
     double share; // its part of the draw
-    double latencySum; // over typical latencies: this tick's samples, and earlier ones if few
+    double latencyRatioSum; // over typical latencies: this tick's samples, and earlier ones if few
     double samples;
-    double tickLatency; // the mean of them at the last tick
-    double trust; // how far that mean can be trusted, from 0 to 1
-    double smoothRatio = 1; // latency over the quiet one of its class, smoothed
-    double quietRatio = 1; // the same when this upstream is quiet itself
+    double meanLatencyRatio; // the mean of them at the last tick
+    double confidence; // how far that mean can be trusted, from 0 to 1
+    double smoothedRatio = 1; // latency over the quiet one of its class, smoothed
+    double baselineRatio = 1; // the same when this upstream is quiet itself
     final ConcurrencyLimit limit = new ConcurrencyLimit();
     int inFlight;
     final ArrayDeque<Attempt> attempts = new ArrayDeque<>(); // in flight, oldest first, without streams
-    double heardMs;
+    double lastAnswerMs;
     double load; // quiet latencies that a request sent at the latest report would take
-    double reportMs = Double.NEGATIVE_INFINITY;
+    double loadUpdatedMs = Double.NEGATIVE_INFINITY;
     final Probation probation = new Probation(); // of it as a whole
     private final Map<ClassStats, Probation> classProbation = new HashMap<>(); // of classes sent to it
     final TokenBucket slowStartBudget = new TokenBucket();
@@ -40,23 +40,23 @@
 
     /** By which part a latency is under that of a crowded upstream; negative where it is over it. */
     double headroom(ClassStats stats, double latencyMs) {
-        return CROWDED * stats.quietMs() * quietRatio / latencyMs - 1;
+        return CROWDED * stats.baselineMs() * baselineRatio / latencyMs - 1;
     }
 
-    void served(double latencyRatio) {
-        smoothRatio += (latencyRatio - smoothRatio) / ClassStats.SMOOTHING;
+    void recordLatencyRatio(double latencyRatio) {
+        smoothedRatio += (latencyRatio - smoothedRatio) / ClassStats.SMOOTHING;
     }
 
     void tick() {
-        quietRatio = Math.max(1, ClassStats.floor(quietRatio, smoothRatio, ClassStats.FORGET));
+        baselineRatio = Math.max(1, ClassStats.floor(baselineRatio, smoothedRatio, ClassStats.DRIFT));
     }
 
-    void report(double nowMs, double requestLoad) {
+    void updateLoad(double nowMs, double requestLoad) {
         load = requestLoad;
-        reportMs = nowMs;
+        loadUpdatedMs = nowMs;
     }
 
-    boolean ready() {
+    boolean isReady() {
         return listed.status() == Balancer.Status.READY;
     }
 
--- a/sidecar/src/test/java/gradehub/AdmissionControlTest.java
+++ b/sidecar/src/test/java/gradehub/AdmissionControlTest.java
@@ -24,7 +24,7 @@
     private static ClassStats stats(double worth) {
         ClassStats stats =
                 new ClassStats(TestSettings.requestClass(Effect.SAFE, Group.ALL, worth), TestSettings.TICK_MS);
-        stats.typicalMs = TYPICAL_MS;
+        stats.medianMs = TYPICAL_MS;
         stats.offered = 100;
         stats.served = 100;
         return stats;
--- a/sidecar/src/test/java/gradehub/ClassStatsTest.java
+++ b/sidecar/src/test/java/gradehub/ClassStatsTest.java
@@ -11,8 +11,8 @@
 class ClassStatsTest {
 
     private static final double DEADLINE_MS = 4000; // by TestSettings, as is an aim of 1000
-    private static final double FORGET = 0.005;
-    private static final double FORGET_STARVED = 0.05;
+    private static final double DRIFT = 0.005;
+    private static final double DRIFT_STARVED = 0.05;
 
     private final ClassStats stats =
             new ClassStats(TestSettings.requestClass(Effect.SAFE, Group.ALL, 1), TestSettings.TICK_MS);
@@ -23,16 +23,16 @@
 
     private void answers(int count, double latencyMs) {
         for (int i = 0; i < count; i++) {
-            stats.answered(latencyMs);
+            stats.recordAnswer(latencyMs);
         }
     }
 
     @Test
     void theTypicalLatencyIsAnEighthOfTheAimUntilAnswersTell() {
-        assertEquals(125, stats.typicalMs);
-        assertEquals(125, stats.quietMs());
+        assertEquals(125, stats.medianMs);
+        assertEquals(125, stats.baselineMs());
         answers(200, 40);
-        assertEquals(40, stats.typicalMs, 1);
+        assertEquals(40, stats.medianMs, 1);
     }
 
     @Test
@@ -43,10 +43,10 @@
         for (int i = 0; i < 20_000; i++) {
             double latencyMs = 50 * Math.exp(random.nextGaussian());
             if (i >= 1000) {
-                slower += latencyMs > stats.typicalMs ? 1 : 0;
-                beyondTail += latencyMs > stats.tail * stats.typicalMs ? 1 : 0;
+                slower += latencyMs > stats.medianMs ? 1 : 0;
+                beyondTail += latencyMs > stats.tailRatio * stats.medianMs ? 1 : 0;
             }
-            stats.answered(latencyMs);
+            stats.recordAnswer(latencyMs);
         }
         assertEquals(0.5, slower / 19_000.0, 0.02);
         assertEquals(0.03, beyondTail / 19_000.0, 0.015);
@@ -56,17 +56,17 @@
     void theQuietLatencyIsKnownAfterEnoughAnswersAndForgetsSlowly() {
         answers(31, 40);
         stats.tick(false);
-        assertEquals(0, stats.quietMs);
+        assertEquals(0, stats.baselineMs);
         answers(200, 40);
         stats.tick(false);
-        double quietMs = stats.quietMs;
-        assertEquals(40, quietMs, 1);
+        double baselineMs = stats.baselineMs;
+        assertEquals(40, baselineMs, 1);
         answers(500, 400);
         stats.tick(false);
-        assertEquals(quietMs * (1 + FORGET), stats.quietMs, 1e-9);
-        assertTrue(stats.typicalMs > 300);
+        assertEquals(baselineMs * (1 + DRIFT), stats.baselineMs, 1e-9);
+        assertTrue(stats.medianMs > 300);
         stats.tick(true);
-        assertEquals(quietMs * (1 + FORGET) * (1 + FORGET_STARVED), stats.quietMs, 1e-9);
+        assertEquals(baselineMs * (1 + DRIFT) * (1 + DRIFT_STARVED), stats.baselineMs, 1e-9);
     }
 
     @Test
@@ -91,7 +91,7 @@
             assertEquals(0, elapsedMs(10_000, 2500, false, false));
         }
         assertEquals(0, elapsedMs(11_000, 3000, false, false)); // none came 1,000 ms ago
-        stats.unserved.note(10_000);
+        stats.unservedRequests.add(10_000);
         assertEquals(1000, elapsedMs(11_000, 3000, false, false));
         assertEquals(0, elapsedMs(11_000, 3000, false, false)); // that one has come again
     }
--- a/sidecar/src/test/java/gradehub/LoadSharesTest.java
+++ b/sidecar/src/test/java/gradehub/LoadSharesTest.java
@@ -17,7 +17,7 @@
     private static UpstreamState member(double share, double latency, double samples) {
         UpstreamState member = new UpstreamState(FakeSidecar.upstream(1, Status.READY, 0));
         member.share = share;
-        member.latencySum = latency * samples;
+        member.latencyRatioSum = latency * samples;
         member.samples = samples;
         return member;
     }
@@ -26,7 +26,7 @@
     void sharesMoveByTheStepOfTheDesign() {
         UpstreamState quick = member(0.5, 1, MANY); // mean 1.25: deviations -0.2 and 0.2
         UpstreamState slow = member(0.5, 1.5, MANY);
-        LoadShares.shift(0, List.of(quick, slow));
+        LoadShares.update(0, List.of(quick, slow));
         assertEquals(0.52, quick.share, EXACT);
         assertEquals(0.48, slow.share, EXACT);
     }
@@ -36,7 +36,7 @@
         UpstreamState quick = member(0.25, 1, MANY);
         UpstreamState slow = member(0.25, 1.5, MANY);
         UpstreamState unknown = member(0.5, 0, 0);
-        LoadShares.shift(0, List.of(quick, slow, unknown));
+        LoadShares.update(0, List.of(quick, slow, unknown));
         assertEquals(0.26, quick.share, EXACT);
         assertEquals(0.24, slow.share, EXACT);
         assertEquals(0.5, unknown.share, EXACT);
@@ -46,10 +46,10 @@
     void fewSamplesMoveAShareByLess() {
         UpstreamState few = member(0.5, 3, 4); // trusted by half: mean (0.5 x 3 + 1) / 1.5, deviation 0.8
         UpstreamState many = member(0.5, 1, MANY); // deviation -0.4
-        LoadShares.shift(0, List.of(few, many));
+        LoadShares.update(0, List.of(few, many));
         assertEquals(0.46 / (0.46 + 0.54), few.share, EXACT);
         assertEquals(4 * 0.85 / 2, few.samples, EXACT); // half of them last on, since 8 would be enough
-        assertEquals(12 * 0.85 / 2, few.latencySum, EXACT);
+        assertEquals(12 * 0.85 / 2, few.latencyRatioSum, EXACT);
         assertEquals(0, many.samples);
     }
 
@@ -59,15 +59,15 @@
         for (int i = 0; i < members.length; i++) {
             members[i] = member(0.1, i == 0 ? 1000 : 1, MANY);
         }
-        LoadShares.shift(0, List.of(members));
+        LoadShares.update(0, List.of(members));
         double others = 0.1 * (1 + 0.2 * (1 - 10 / 1009.0)); // the mean is 100.9
         assertEquals(0.06 / (0.06 + 9 * others), members[0].share, EXACT); // at most two means: 1 - 0.2 x 2
         for (int tick = 0; tick < 50; tick++) {
             for (int i = 0; i < members.length; i++) {
                 members[i].samples = MANY;
-                members[i].latencySum = (i == 0 ? 1000 : 1) * MANY;
+                members[i].latencyRatioSum = (i == 0 ? 1000 : 1) * MANY;
             }
-            LoadShares.shift(0, List.of(members));
+            LoadShares.update(0, List.of(members));
         }
         assertTrue(members[0].share > 0.005, "a tenth of the mean share, as renormalised: " + members[0].share);
     }
@@ -75,20 +75,20 @@
     @Test
     void whatHangsCountsByItsAge() {
         ClassStats stats = new ClassStats(TestSettings.requestClass(Effect.SAFE, Group.ALL, 1), TestSettings.TICK_MS);
-        stats.typicalMs = 100;
+        stats.medianMs = 100;
         UpstreamState hung = member(0.5, 0, 0);
         UpstreamState sound = member(0.5, 1, MANY);
         for (int i = 0; i < 4; i++) {
             Call call = new Call(new Balancer.Request(i, 0, 0, 4000, false, 0), stats, 1, i, 1000, 1000);
-            call.begin(hung, 0);
+            call.startAttempt(hung, 0);
         }
-        LoadShares.shift(100, List.of(hung, sound));
+        LoadShares.update(100, List.of(hung, sound));
         assertEquals(0.5, hung.share, EXACT); // as long as usual tells nothing
         sound.samples = MANY; // of the next tick
-        sound.latencySum = MANY;
-        LoadShares.shift(500, List.of(hung, sound));
-        assertEquals(5, hung.tickLatency, EXACT);
-        assertEquals(0.5, hung.trust, EXACT);
+        sound.latencyRatioSum = MANY;
+        LoadShares.update(500, List.of(hung, sound));
+        assertEquals(5, hung.meanLatencyRatio, EXACT);
+        assertEquals(0.5, hung.confidence, EXACT);
         double mean = (0.5 * 5 + 1) / 1.5;
         double hungFactor = 1 - 0.2 * 0.5 * (5 / mean - 1);
         double soundFactor = 1 - 0.2 * (1 / mean - 1);
--- a/sidecar/src/test/java/gradehub/LoadShedderTest.java
+++ b/sidecar/src/test/java/gradehub/LoadShedderTest.java
@@ -25,9 +25,9 @@
         }
     };
 
-    private Call waits(int order, double value, double usefulUntilMs) {
+    private Call waits(int order, double value, double deadlineMs) {
         Call call = new Call(
-                new Balancer.Request(order, 0, 0, 4000, false, 0), stats, value, order, usefulUntilMs, usefulUntilMs);
+                new Balancer.Request(order, 0, 0, 4000, false, 0), stats, value, order, deadlineMs, deadlineMs);
         shedder.waiting.add(call);
         return call;
     }
@@ -42,7 +42,7 @@
 
     @Test
     void whatHasTwoAndAHalfTypicalLatenciesLeftIsShed() {
-        stats.typicalMs = 100;
+        stats.medianMs = 100;
         Call soon = waits(1, 1, 1000);
         Call later = waits(2, 1, 1001);
         assertEquals(List.of(), shedder.shed(749, CONTROL_MS));
@@ -54,11 +54,11 @@
 
     @Test
     void whereAllIsSlowWaitingEndsLater() {
-        stats.typicalMs = 500; // 2.5 of them would be more than the aim: 0.65 of the aim of 1,000 ms it is
+        stats.medianMs = 500; // 2.5 of them would be more than the aim: 0.65 of the aim of 1,000 ms it is
         Call call = waits(1, 1, 1000);
         assertEquals(List.of(), shedder.shed(349, CONTROL_MS));
         assertEquals(List.of(call), shedder.shed(350, CONTROL_MS));
-        stats.typicalMs = 800; // but never less than one typical latency
+        stats.medianMs = 800; // but never less than one typical latency
         waits(2, 1, 1000);
         assertEquals(List.of(), shedder.shed(199, CONTROL_MS));
         assertEquals(1, shedder.shed(200, CONTROL_MS).size());
@@ -66,7 +66,7 @@
 
     @Test
     void whereAllIsQuickItWaitsForTheLastControlTick() {
-        stats.typicalMs = 1;
+        stats.medianMs = 1;
         waits(1, 1, 1000);
         assertEquals(List.of(), shedder.shed(939, CONTROL_MS));
         assertEquals(1, shedder.shed(940, CONTROL_MS).size());
--- a/sidecar/src/test/java/gradehub/OutlierEjectionTest.java
+++ b/sidecar/src/test/java/gradehub/OutlierEjectionTest.java
@@ -28,7 +28,7 @@
 
     private static ClassStats stats() {
         ClassStats stats = new ClassStats(TestSettings.requestClass(Effect.SAFE, Group.ALL, 1), TestSettings.TICK_MS);
-        stats.typicalMs = TYPICAL_MS;
+        stats.medianMs = TYPICAL_MS;
         return stats;
     }
 
@@ -40,7 +40,7 @@
 
     private Attempt sent(double nowMs) {
         Call call = new Call(new Balancer.Request(1, 0, 0, 4000, false, 0), reads, 1, 0, 1000, 1000);
-        call.begin(upstream, nowMs);
+        call.startAttempt(upstream, nowMs);
         return call.attempt(0);
     }
 
@@ -116,7 +116,7 @@
     @Test
     void oneSilentAttemptMayTakeAsLongAsTheTailOfItsClass() {
         Attempt oldest = sent(1000);
-        reads.tail = 8;
+        reads.tailRatio = 8;
         ejection.checkSilence(1000 + 8 * TYPICAL_MS, upstream, oldest);
         assertEquals(List.of(), logs);
         ejection.checkSilence(1000 + 8 * TYPICAL_MS + 1, upstream, oldest);
--- a/sidecar/src/test/java/gradehub/RetryPolicyTest.java
+++ b/sidecar/src/test/java/gradehub/RetryPolicyTest.java
@@ -25,14 +25,14 @@
 
     private static Call call(Effect effect, Group group) {
         ClassStats stats = new ClassStats(TestSettings.requestClass(effect, group, 1), TestSettings.TICK_MS);
-        stats.typicalMs = TYPICAL_MS;
+        stats.medianMs = TYPICAL_MS;
         return new Call(new Balancer.Request(1, 0, 0, 4000, false, 0), stats, 1, 0, USEFUL_UNTIL_MS, USEFUL_UNTIL_MS);
     }
 
     /** A call with one attempt that has ended so, or is in flight for null. */
     private Call sent(Effect effect, Group group, Outcome outcome) {
         Call call = call(effect, group);
-        call.begin(first, 0);
+        call.startAttempt(first, 0);
         if (outcome != null) {
             call.attempt(0).end(outcome);
         }
@@ -84,9 +84,9 @@
     @Test
     void noMoreAttemptsThanTheLimit() {
         Call call = sent(Effect.SAFE, Group.ALL, Outcome.ERROR);
-        call.begin(upstream(2), 0);
+        call.startAttempt(upstream(2), 0);
         assertTrue(retries.allows(0, call, 3));
-        call.begin(upstream(3), 0);
+        call.startAttempt(upstream(3), 0);
         assertFalse(retries.allows(0, call, 3));
     }
 
--- a/sidecar/src/test/java/gradehub/UpstreamListTest.java
+++ b/sidecar/src/test/java/gradehub/UpstreamListTest.java
@@ -105,16 +105,16 @@
 
     @Test
     void theFirstAttemptsAtAnUpstreamAreSharedByTheSidecarsThatHoldIt() {
-        assertEquals(8, list(1, 4).firstInFlight(), EXACT);
-        assertEquals(2, list(4, 4).firstInFlight(), EXACT);
-        assertEquals(0.08, list(1000, 100).firstInFlight(), EXACT); // each is held by 100 of the 1,000
+        assertEquals(8, list(1, 4).initialConcurrency(), EXACT);
+        assertEquals(2, list(4, 4).initialConcurrency(), EXACT);
+        assertEquals(0.08, list(1000, 100).initialConcurrency(), EXACT); // each is held by 100 of the 1,000
     }
 
     @Test
     void thePartOfTheWeightIsThatAmongTheMembers() {
         UpstreamList list = list(1, 4);
-        assertEquals(0.25, list.weightPart(list.find(1)), EXACT);
+        assertEquals(0.25, list.weightFraction(list.find(1)), EXACT);
         change(list, 1, Status.DRAINING, 0);
-        assertEquals(1 / 3.0, list.weightPart(list.find(2)), EXACT);
+        assertEquals(1 / 3.0, list.weightFraction(list.find(2)), EXACT);
     }
 }
