--- a/sidecar/src/main/java/gradehub/node/ArchiveRun.java
+++ b/sidecar/src/main/java/gradehub/node/ArchiveRun.java
@@ -72,7 +72,7 @@
 
     private static void train()
             throws IOException, InterruptedException, ExecutionException, ClassNotFoundException,
-                    Config.BadConfigException {
+                    Config.InvalidConfigException {
         loadServingClasses();
         Path folder = Files.createTempDirectory("training");
         long pid = ProcessHandle.current().pid();
--- a/sidecar/src/main/java/gradehub/node/Config.java
+++ b/sidecar/src/main/java/gradehub/node/Config.java
@@ -23,8 +23,8 @@
         Settings settings,
         MemberReader members,
         double connectTimeoutMs,
-        double idleMs,
-        double slackMs,
+        double idleTimeoutMs,
+        double answerSlackMs,
         double drainGraceMs) {
 
     static final ObjectMapper JSON = new ObjectMapper();
@@ -36,23 +36,23 @@
         /** The file can't be read now. */
         UNREADABLE,
         /** The file ends early or is no JSON: it may be half written. */
-        NO_JSON,
+        MALFORMED_JSON,
         /** The file is whole, and the sidecar can't run with what it says. */
-        WRONG
+        INVALID
     }
 
     /** A configuration that the sidecar can't run with; the message names the key. */
-    static final class BadConfigException extends Exception {
+    static final class InvalidConfigException extends Exception {
 
         private static final long serialVersionUID = 1L;
 
         private final Fault fault;
 
-        BadConfigException(String message) {
-            this(Fault.WRONG, message);
+        InvalidConfigException(String message) {
+            this(Fault.INVALID, message);
         }
 
-        BadConfigException(Fault fault, String message) {
+        InvalidConfigException(Fault fault, String message) {
             super(message);
             this.fault = fault;
         }
@@ -62,29 +62,30 @@
         }
     }
 
-    static Config load(Map<String, String> environment) throws BadConfigException {
+    static Config load(Map<String, String> environment) throws InvalidConfigException {
         String file = environment.get(FILE);
         if (file == null || file.isEmpty()) {
-            throw new BadConfigException(FILE + " is not set");
+            throw new InvalidConfigException(FILE + " is not set");
         }
         try {
             JsonNode root = JSON.readTree(Files.readAllBytes(Path.of(file)));
             if (root.isMissingNode()) {
-                throw new BadConfigException(Fault.NO_JSON, FILE + ": " + file + " is empty");
+                throw new InvalidConfigException(Fault.MALFORMED_JSON, FILE + ": " + file + " is empty");
             }
-            return of(root);
+            return parse(root);
         } catch (JsonProcessingException e) {
-            throw new BadConfigException(Fault.NO_JSON, FILE + ": " + file + " is no JSON: " + e.getOriginalMessage());
+            throw new InvalidConfigException(
+                    Fault.MALFORMED_JSON, FILE + ": " + file + " is no JSON: " + e.getOriginalMessage());
         } catch (IOException e) {
-            throw new BadConfigException(Fault.UNREADABLE, FILE + ": can't read " + file + ": " + e.getMessage());
+            throw new InvalidConfigException(Fault.UNREADABLE, FILE + ": can't read " + file + ": " + e.getMessage());
         }
     }
 
     /** The same for a start: a file that is there and can't be read is an {@link IOException}, which may pass. */
-    static Config loadForStart(Map<String, String> environment) throws BadConfigException, IOException {
+    static Config loadForStart(Map<String, String> environment) throws InvalidConfigException, IOException {
         try {
             return load(environment);
-        } catch (BadConfigException e) {
+        } catch (InvalidConfigException e) {
             if (e.fault() == Fault.UNREADABLE && Files.exists(Path.of(environment.get(FILE)))) {
                 throw new IOException(e.getMessage(), e);
             }
@@ -92,9 +93,9 @@
         }
     }
 
-    static Config of(JsonNode root) throws BadConfigException {
+    static Config parse(JsonNode root) throws InvalidConfigException {
         if (!root.path("settings").isObject()) {
-            throw new BadConfigException("settings: missing, or no object");
+            throw new InvalidConfigException("settings: missing, or no object");
         }
         Map<String, String> values = new HashMap<>();
         flatten("", root.get("settings"), values);
@@ -113,7 +114,7 @@
                     reader.number("contract.answerSlackMs", 0),
                     reader.number("contract.drainGraceMs", 500));
         } catch (IllegalArgumentException e) {
-            throw new BadConfigException("settings: " + e.getMessage());
+            throw new InvalidConfigException("settings: " + e.getMessage());
         }
     }
 
@@ -138,10 +139,10 @@
         }
     }
 
-    private static InetSocketAddress address(JsonNode root, String key) throws BadConfigException {
+    private static InetSocketAddress address(JsonNode root, String key) throws InvalidConfigException {
         InetSocketAddress address = parseAddress(root.path(key).asText(""));
         if (address == null) {
-            throw new BadConfigException(key + ": missing, or no address and port");
+            throw new InvalidConfigException(key + ": missing, or no address and port");
         }
         return address;
     }
@@ -159,18 +160,18 @@
         }
     }
 
-    private static long seed(JsonNode root) throws BadConfigException {
+    private static long seed(JsonNode root) throws InvalidConfigException {
         try {
             return Long.parseUnsignedLong(root.path("seed").asText(""), 16);
         } catch (NumberFormatException e) {
-            throw new BadConfigException("seed: missing, or no hexadecimal number");
+            throw new InvalidConfigException("seed: missing, or no hexadecimal number");
         }
     }
 
-    private static int sockets(JsonNode root) throws BadConfigException {
+    private static int sockets(JsonNode root) throws InvalidConfigException {
         int sockets = root.path("limits").path("sockets").asInt(1024);
         if (sockets <= SocketBudget.LEAST) {
-            throw new BadConfigException("limits.sockets: must be above " + SocketBudget.LEAST);
+            throw new InvalidConfigException("limits.sockets: must be above " + SocketBudget.LEAST);
         }
         return sockets;
     }
--- a/sidecar/src/main/java/gradehub/node/Engine.java
+++ b/sidecar/src/main/java/gradehub/node/Engine.java
@@ -112,7 +112,7 @@
         this.loop = loop;
         this.clock = clock;
         this.settings = config.settings();
-        this.slackMs = config.slackMs();
+        this.slackMs = config.answerSlackMs();
         this.upstreams = new Upstreams(loop, clock, config, sockets, opened, this);
         this.balancer = module.apply(this);
         this.balancer.clientRoom(sockets.mostRequests());
--- a/sidecar/src/main/java/gradehub/node/Rehearsal.java
+++ b/sidecar/src/main/java/gradehub/node/Rehearsal.java
@@ -49,7 +49,7 @@
         try {
             LOG.log(System.Logger.Level.INFO, "rehearsing with an upstream of its own");
             rehearse(0, endNanos(longestMs(ManagementFactory.getRuntimeMXBean().getUptime())));
-        } catch (IOException | RuntimeException | Config.BadConfigException e) {
+        } catch (IOException | RuntimeException | Config.InvalidConfigException e) {
             LOG.log(System.Logger.Level.WARNING, "the rehearsal failed", e);
         }
     }
@@ -69,13 +69,13 @@
      * under way at the end is not waited for.
      */
     static int rehearse(long upstreamMs, long endNanos)
-            throws IOException, InterruptedException, Config.BadConfigException {
+            throws IOException, InterruptedException, Config.InvalidConfigException {
         try (ServerSocket others = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
             Thread accepting = new Thread(() -> accept(others, upstreamMs));
             accepting.setDaemon(true);
             accepting.start();
             String address = others.getInetAddress().getHostAddress() + ":" + others.getLocalPort();
-            Sidecar sidecar = Sidecar.start(Config.of(Config.JSON.readTree(CONFIG.formatted(address))));
+            Sidecar sidecar = Sidecar.start(Config.parse(Config.JSON.readTree(CONFIG.formatted(address))));
             int answered = ask((InetSocketAddress) sidecar.address(), endNanos);
             sidecar.halt();
             return answered;
--- a/sidecar/src/main/java/gradehub/node/Sidecar.java
+++ b/sidecar/src/main/java/gradehub/node/Sidecar.java
@@ -76,16 +76,16 @@
         try {
             ReloadSignal signal = new ReloadSignal();
             StartRetry retry = new StartRetry();
-            Config config = retry.until("reading the configuration", () -> Config.loadForStart(environment));
-            Sidecar sidecar = retry.until("opening the event loop", () -> createForStart(config));
+            Config config = retry.runUntilSuccess("reading the configuration", () -> Config.loadForStart(environment));
+            Sidecar sidecar = retry.runUntilSuccess("opening the event loop", () -> createForStart(config));
             signal.onSignal(() -> sidecar.reload(environment));
             Rehearsal.tryIt(); // while discovery answers
             System.gc(); // else the first collection in service copies all that the start has left
             sidecar.discovery.awaitAnswer(longestListMs());
             onSigterm(new Thread(() -> sidecar.stopAndExit(log), "stop"));
-            retry.until("listening", () -> sidecar.listen(config));
+            retry.runUntilSuccess("listening", () -> sidecar.listen(config));
             LOG.log(System.Logger.Level.INFO, "listening on " + sidecar.address());
-        } catch (Config.BadConfigException e) {
+        } catch (Config.InvalidConfigException e) {
             System.err.println("gradehub: " + e.getMessage());
             exit(log, BAD_CONFIGURATION);
         } catch (IOException e) {
@@ -182,9 +182,9 @@
             Config read = Config.load(environment);
             loop.execute(() -> discovery.moveTo(read.discovery()));
             return true;
-        } catch (Config.BadConfigException e) {
+        } catch (Config.InvalidConfigException e) {
             reloadLog.warn("the new configuration is of no use, the old one stands: " + e.getMessage());
-            return e.fault() == Config.Fault.WRONG;
+            return e.fault() == Config.Fault.INVALID;
         } catch (RuntimeException e) {
             LOG.log(System.Logger.Level.ERROR, "reloading failed, the old configuration stands", e);
             return true;
@@ -220,7 +220,7 @@
     }
 
     /** Leaves the watch and opens another. */
-    void watchAnew() {
+    void reopenWatch() {
         discovery.subscribe(true);
     }
 
@@ -241,7 +241,7 @@
     }
 
     /** Ends what is overdue, as the sidecar does now and then by itself. */
-    void lookAtClients() {
+    void closeOverdueClients() {
         clients.look();
     }
 
--- a/sidecar/src/main/java/gradehub/node/StartRetry.java
+++ b/sidecar/src/main/java/gradehub/node/StartRetry.java
@@ -12,7 +12,7 @@
 
     /** A step of the start; an {@link IOException} is taken for a failure that may pass. */
     interface Step<T> {
-        T run() throws IOException, InterruptedException, Config.BadConfigException;
+        T run() throws IOException, InterruptedException, Config.InvalidConfigException;
     }
 
     private static final System.Logger LOG = System.getLogger("gradehub");
@@ -29,7 +29,8 @@
     }
 
     /** Runs a step until it succeeds; the last failure is thrown once there is no time left. */
-    <T> T until(String name, Step<T> step) throws IOException, InterruptedException, Config.BadConfigException {
+    <T> T runUntilSuccess(String name, Step<T> step)
+            throws IOException, InterruptedException, Config.InvalidConfigException {
         boolean told = false;
         while (true) {
             try {
--- a/sidecar/src/main/java/gradehub/node/Upstreams.java
+++ b/sidecar/src/main/java/gradehub/node/Upstreams.java
@@ -108,7 +108,7 @@
         this.clock = clock;
         this.reports = new LoadReport(config.settings().reportFields());
         this.connectTimeoutMs = config.connectTimeoutMs();
-        this.idleMs = SAFE_IDLE * config.idleMs();
+        this.idleMs = SAFE_IDLE * config.idleTimeoutMs();
         this.sockets = sockets;
         this.opened = opened;
         this.listener = listener;
--- a/sidecar/src/test/java/gradehub/node/BadClientTest.java
+++ b/sidecar/src/test/java/gradehub/node/BadClientTest.java
@@ -13,20 +13,20 @@
 /** Clients that send what can't be read, or nothing: an error or a close for them, and nothing for any upstream. */
 class BadClientTest {
 
-    private Rig rig;
+    private SidecarFixture fixture;
     private ServerSocket upstream;
     private String list;
 
     @BeforeEach
     void open() throws Exception {
-        rig = new Rig();
-        upstream = rig.listener();
-        list = Rig.list(1, true, Rig.member("u1", Rig.address(upstream), "active"));
+        fixture = new SidecarFixture();
+        upstream = fixture.listener();
+        list = SidecarFixture.list(1, true, SidecarFixture.member("u1", SidecarFixture.address(upstream), "active"));
     }
 
     @AfterEach
     void close() throws Exception {
-        rig.close();
+        fixture.close();
     }
 
     /** Where its end could be read in two ways a request may hide another: the connection ends with the error. */
@@ -43,11 +43,13 @@
         "Expect: a miracle,417"
     })
     void aRequestThatCouldBeReadInTwoWaysGoesNowhere(String header, int status) throws Exception {
-        rig.start(list);
-        try (Wire client = rig.client()) {
-            client.send(Rig.post(Rig.id(1), "x").replace("Host:", header + "\r\nHost:") + Rig.get(Rig.id(2)));
+        fixture.start(list);
+        try (RawConnection client = fixture.client()) {
+            client.send(
+                    SidecarFixture.postRequest(SidecarFixture.requestId(1), "x").replace("Host:", header + "\r\nHost:")
+                            + SidecarFixture.getRequest(SidecarFixture.requestId(2)));
             assertEquals(status, client.read().status());
-            assertTrue(client.ends());
+            assertTrue(client.awaitClose());
         }
         onlyTheGoodOneComes();
     }
@@ -62,33 +64,41 @@
         "Content-Length: ten"
     })
     void aFigureThatIsNoneGoesNowhere(String header) throws Exception {
-        rig.start(list);
+        fixture.start(list);
         String name = header.substring(0, header.indexOf(':'));
-        try (Wire client = rig.client()) {
-            client.send(Rig.post(Rig.id(1), "x").replaceAll(name + ": [^\r]*", header.replace("''", "")));
+        try (RawConnection client = fixture.client()) {
+            client.send(SidecarFixture.postRequest(SidecarFixture.requestId(1), "x")
+                    .replaceAll(name + ": [^\r]*", header.replace("''", "")));
             assertEquals(400, client.read().status());
         }
         onlyTheGoodOneComes();
     }
 
     private void onlyTheGoodOneComes() throws Exception {
-        try (Wire client = rig.client()) {
-            client.send(Rig.get(Rig.id(7)));
-            assertEquals(Rig.id(7), Rig.accept(upstream).read().header("X-Txn"), "the first that any upstream saw");
+        try (RawConnection client = fixture.client()) {
+            client.send(SidecarFixture.getRequest(SidecarFixture.requestId(7)));
+            assertEquals(
+                    SidecarFixture.requestId(7),
+                    SidecarFixture.accept(upstream).read().header("X-Txn"),
+                    "the first that any upstream saw");
         }
     }
 
     /** Two answers would come for one identifier, and neither client could tell which is its own. */
     @Test
     void theIdentifierOfAnOpenRequestIsTurnedDown() throws Exception {
-        rig.start(list);
-        try (Wire client = rig.client();
-                Wire other = rig.client()) {
-            client.send(Rig.get(Rig.id(1)));
-            Wire up = Rig.accept(upstream);
+        fixture.start(list);
+        try (RawConnection client = fixture.client();
+                RawConnection other = fixture.client()) {
+            client.send(SidecarFixture.getRequest(SidecarFixture.requestId(1)));
+            RawConnection up = SidecarFixture.accept(upstream);
             up.read();
-            assertEquals(409, other.send(Rig.get(Rig.id(1))).read().status());
-            up.send(Rig.answer("200 OK", "one"));
+            assertEquals(
+                    409,
+                    other.send(SidecarFixture.getRequest(SidecarFixture.requestId(1)))
+                            .read()
+                            .status());
+            up.send(SidecarFixture.answer("200 OK", "one"));
             assertEquals("one", client.read().body());
         }
     }
@@ -96,61 +106,64 @@
     /** The error of a body that is too long comes behind the answer of the request before it, and whole. */
     @Test
     void anErrorKeepsItsPlaceAndIsNotDestroyedByTheClose() throws Exception {
-        rig.start(list);
-        try (Wire client = rig.client()) {
-            client.send(Rig.get(Rig.id(1))
-                    + Rig.post(Rig.id(2), "x").replace("Length: 1", "Length: 60000000")
+        fixture.start(list);
+        try (RawConnection client = fixture.client()) {
+            client.send(SidecarFixture.getRequest(SidecarFixture.requestId(1))
+                    + SidecarFixture.postRequest(SidecarFixture.requestId(2), "x")
+                            .replace("Length: 1", "Length: 60000000")
                     + "b".repeat(100_000));
-            Wire up = Rig.accept(upstream);
+            RawConnection up = SidecarFixture.accept(upstream);
             up.read();
-            up.send(Rig.answer("200 OK", "one"));
+            up.send(SidecarFixture.answer("200 OK", "one"));
             assertEquals("one", client.read().body());
             assertEquals(413, client.read().status());
-            assertTrue(client.ends());
+            assertTrue(client.awaitClose());
         }
     }
 
     @Test
     void aChunkedBodyThatGrowsTooLongIsTurnedDown() throws Exception {
-        rig.start(list);
-        try (Wire client = rig.client()) {
-            client.send(Rig.post(Rig.id(1), "").replace("Content-Length: 0", "Transfer-Encoding: chunked") + "11000\r\n"
-                    + "b".repeat(0x11000) + "\r\n");
+        fixture.start(list);
+        try (RawConnection client = fixture.client()) {
+            client.send(SidecarFixture.postRequest(SidecarFixture.requestId(1), "")
+                            .replace("Content-Length: 0", "Transfer-Encoding: chunked")
+                    + "11000\r\n" + "b".repeat(0x11000) + "\r\n");
             assertEquals(413, client.read().status());
         }
     }
 
     @Test
     void aRequestWithoutEndIsTurnedDownInTime() throws Exception {
-        rig.start(list);
-        try (Wire silent = rig.client();
-                Wire slow = rig.client();
-                Wire half = rig.client();
-                Wire endless = rig.client()) {
+        fixture.start(list);
+        try (RawConnection silent = fixture.client();
+                RawConnection slow = fixture.client();
+                RawConnection half = fixture.client();
+                RawConnection endless = fixture.client()) {
             slow.send("GET /window-read HTTP/1.1\r\nX-T");
-            half.send(Rig.post(Rig.id(1), "x").replace("Length: 1", "Length: 5"));
+            half.send(
+                    SidecarFixture.postRequest(SidecarFixture.requestId(1), "x").replace("Length: 1", "Length: 5"));
             endless.send("GET /window-read HTTP/1.1\r\n" + "X-Pad: pppppppp\r\n".repeat(1000));
             assertEquals(431, endless.read().status());
-            assertTrue(silent.ends());
+            assertTrue(silent.awaitClose());
             assertEquals(408, slow.read().status());
             assertEquals(408, half.read().status());
-            assertTrue(half.ends());
+            assertTrue(half.awaitClose());
         }
     }
 
     /** Hundreds at once would be held in memory until each has its turn. */
     @Test
     void aCrowdOfRequestsOnOneConnectionIsTurnedDown() throws Exception {
-        rig.start(list);
-        try (Wire client = rig.client()) {
+        fixture.start(list);
+        try (RawConnection client = fixture.client()) {
             StringBuilder crowd = new StringBuilder();
             for (int i = 0; i < 20; i++) {
-                crowd.append(Rig.get(Rig.id(i)));
+                crowd.append(SidecarFixture.getRequest(SidecarFixture.requestId(i)));
             }
             client.send(crowd.toString());
-            Wire up = Rig.accept(upstream);
+            RawConnection up = SidecarFixture.accept(upstream);
             up.read();
-            up.send(Rig.answer("400 Bad Request", ""));
+            up.send(SidecarFixture.answer("400 Bad Request", ""));
             assertEquals(400, client.read().status());
         }
     }
@@ -159,14 +172,15 @@
     @ParameterizedTest
     @CsvSource({"unheard-of,404", "window-read,405"})
     void aFloodOfRequestsThatAreTurnedDownGetsOneAnswer(String path, int status) throws Exception {
-        rig.start(list);
-        try (Wire client = rig.client()) {
-            String request = Rig.post(Rig.id(1), "").replace(Rig.UNSAFE, path);
+        fixture.start(list);
+        try (RawConnection client = fixture.client()) {
+            String request = SidecarFixture.postRequest(SidecarFixture.requestId(1), "")
+                    .replace(SidecarFixture.UNSAFE_CLASS, path);
             client.send(request.repeat(200));
-            Wire.Message answer = client.read();
+            RawConnection.Message answer = client.read();
             assertEquals(status, answer.status());
             assertEquals("close", answer.header("Connection"));
-            assertTrue(client.ends());
+            assertTrue(client.awaitClose());
         }
         onlyTheGoodOneComes();
     }
@@ -174,14 +188,14 @@
     /** Clients that asked once and stay must not keep others out. */
     @Test
     void whereRoomIsShortAConnectionAtRestIsClosed() throws Exception {
-        rig.start(list, SocketBudget.LEAST + 8);
-        try (Wire client = rig.client()) {
-            client.send(Rig.get(Rig.id(1)));
-            Wire up = Rig.accept(upstream);
+        fixture.start(list, SocketBudget.LEAST + 8);
+        try (RawConnection client = fixture.client()) {
+            client.send(SidecarFixture.getRequest(SidecarFixture.requestId(1)));
+            RawConnection up = SidecarFixture.accept(upstream);
             up.read();
-            up.send(Rig.answer("200 OK", "one"));
+            up.send(SidecarFixture.answer("200 OK", "one"));
             assertEquals("one", client.read().body());
-            assertTrue(client.ends());
+            assertTrue(client.awaitClose());
         }
     }
 }
--- a/sidecar/src/test/java/gradehub/node/ClientEndTest.java
+++ b/sidecar/src/test/java/gradehub/node/ClientEndTest.java
@@ -18,34 +18,36 @@
     private static final int REQUEST_MS = 2200; // more than a request's bytes are waited for
     private static final int REST_MS = 2000; // more than a connection may rest where room is short
 
-    private Rig rig;
+    private SidecarFixture fixture;
     private ServerSocket upstream;
 
     @BeforeEach
     void open() throws Exception {
-        rig = new Rig();
-        upstream = rig.listener();
+        fixture = new SidecarFixture();
+        upstream = fixture.listener();
     }
 
     @AfterEach
     void close() throws Exception {
-        rig.close();
+        fixture.close();
     }
 
     private void start(int sockets) throws Exception {
-        rig.start(Rig.list(1, true, Rig.member("u1", Rig.address(upstream), "active")), sockets);
+        fixture.start(
+                SidecarFixture.list(1, true, SidecarFixture.member("u1", SidecarFixture.address(upstream), "active")),
+                sockets);
     }
 
-    private Wire ready() throws Exception {
-        Wire client = rig.client();
+    private RawConnection ready() throws Exception {
+        RawConnection client = fixture.client();
         assertEquals(200, client.send(READY).read().status());
         return client;
     }
 
-    private void assertServed(String id, Wire client) throws Exception {
-        Wire up = Rig.accept(upstream);
+    private void assertServed(String id, RawConnection client) throws Exception {
+        RawConnection up = SidecarFixture.accept(upstream);
         assertEquals(id, up.read().header("X-Txn"));
-        up.send(Rig.answer("200 OK", id, "Connection: close"));
+        up.send(SidecarFixture.answer("200 OK", id, "Connection: close"));
         assertEquals(id, client.read().body());
     }
 
@@ -57,10 +59,10 @@
     }
 
     /** The look at what is overdue comes before the read of what has come meanwhile. */
-    private void lookAfter(long ms, Wire client, String request) throws Throwable {
-        rig.whileHeld(() -> {
+    private void lookAfter(long ms, RawConnection client, String request) throws Throwable {
+        fixture.whileEventLoopBlocked(() -> {
             pass(ms);
-            rig.sidecar().loop().execute(rig.sidecar()::lookAtClients);
+            fixture.sidecar().loop().execute(fixture.sidecar()::closeOverdueClients);
             client.send(request);
         });
     }
@@ -68,23 +70,23 @@
     @Test
     void aRequestThatHasComeWholeIsNotTurnedDownAsSlow() throws Throwable {
         start(1024);
-        String request = Rig.post(Rig.id(1), "body");
-        try (Wire client = rig.client();
-                Wire later = rig.client()) {
+        String request = SidecarFixture.postRequest(SidecarFixture.requestId(1), "body");
+        try (RawConnection client = fixture.client();
+                RawConnection later = fixture.client()) {
             client.send(request.substring(0, request.length() - 2));
             later.send(READY).read(); // by now the first part has been read
             lookAfter(REQUEST_MS + 100, client, request.substring(request.length() - 2));
-            assertServed(Rig.id(1), client);
+            assertServed(SidecarFixture.requestId(1), client);
         }
     }
 
     @Test
     void aConnectionWithAnUnreadRequestIsNotTakenForSilent() throws Throwable {
         start(1024);
-        try (Wire client = rig.client()) {
-            rig.await(() -> rig.sidecar().clients() == 1);
-            lookAfter(REQUEST_MS + 100, client, Rig.post(Rig.id(1), "x"));
-            assertServed(Rig.id(1), client);
+        try (RawConnection client = fixture.client()) {
+            fixture.awaitOnEventLoop(() -> fixture.sidecar().clients() == 1);
+            lookAfter(REQUEST_MS + 100, client, SidecarFixture.postRequest(SidecarFixture.requestId(1), "x"));
+            assertServed(SidecarFixture.requestId(1), client);
         }
     }
 
@@ -92,9 +94,9 @@
     @Test
     void aRestingConnectionWithAnUnreadRequestMakesNoRoom() throws Throwable {
         start(SocketBudget.LEAST + 16);
-        try (Wire client = ready()) {
-            lookAfter(REST_MS + 100, client, Rig.post(Rig.id(1), "x"));
-            assertServed(Rig.id(1), client);
+        try (RawConnection client = ready()) {
+            lookAfter(REST_MS + 100, client, SidecarFixture.postRequest(SidecarFixture.requestId(1), "x"));
+            assertServed(SidecarFixture.requestId(1), client);
         }
     }
 
@@ -102,18 +104,18 @@
     @Test
     void aNewConnectionIsNotEndedBeforeItsRequestComes() throws Throwable {
         start(1024);
-        try (Wire client = rig.client()) {
-            rig.whileHeld(() -> {
-                rig.sidecar().loop().execute(rig.sidecar()::endConnections);
-                rig.sidecar().loop().execute(() -> sendsItself(client));
+        try (RawConnection client = fixture.client()) {
+            fixture.whileEventLoopBlocked(() -> {
+                fixture.sidecar().loop().execute(fixture.sidecar()::endConnections);
+                fixture.sidecar().loop().execute(() -> sendsItself(client));
             });
-            assertServed(Rig.id(1), client);
+            assertServed(SidecarFixture.requestId(1), client);
         }
     }
 
-    private static void sendsItself(Wire client) {
+    private static void sendsItself(RawConnection client) {
         try {
-            client.send(Rig.post(Rig.id(1), "x"));
+            client.send(SidecarFixture.postRequest(SidecarFixture.requestId(1), "x"));
         } catch (IOException e) {
             throw new AssertionError(e);
         }
@@ -124,20 +126,20 @@
     void whoWaitsAsTheListenerClosesIsServed() throws Throwable {
         start(1024);
         ready().close();
-        Wire[] clients = new Wire[3];
-        rig.whileHeld(() -> {
-            rig.sidecar().loop().execute(rig.sidecar()::stopListening);
+        RawConnection[] clients = new RawConnection[3];
+        fixture.whileEventLoopBlocked(() -> {
+            fixture.sidecar().loop().execute(fixture.sidecar()::stopListening);
             for (int i = 0; i < clients.length; i++) {
-                clients[i] = rig.client().send(Rig.post(Rig.id(i + 1), "x"));
+                clients[i] = fixture.client().send(SidecarFixture.postRequest(SidecarFixture.requestId(i + 1), "x"));
             }
         });
         for (int i = 0; i < clients.length; i++) {
-            Wire up = Rig.accept(upstream);
+            RawConnection up = SidecarFixture.accept(upstream);
             String id = up.read().header("X-Txn");
-            up.send(Rig.answer("200 OK", id, "Connection: close"));
+            up.send(SidecarFixture.answer("200 OK", id, "Connection: close"));
         }
         for (int i = 0; i < clients.length; i++) {
-            assertEquals(Rig.id(i + 1), clients[i].read().body());
+            assertEquals(SidecarFixture.requestId(i + 1), clients[i].read().body());
             clients[i].close();
         }
     }
@@ -147,19 +149,19 @@
     void anIdleConnectionIsShutBeforeItIsClosed() throws Throwable {
         start(1024);
         CompletableFuture<Integer> open = new CompletableFuture<>();
-        try (Wire client = ready()) {
-            rig.whileHeld(() -> {
-                rig.sidecar().loop().execute(rig.sidecar()::endConnections);
+        try (RawConnection client = ready()) {
+            fixture.whileEventLoopBlocked(() -> {
+                fixture.sidecar().loop().execute(fixture.sidecar()::endConnections);
                 // A close is told of by a task of its own: the count comes behind that.
-                rig.sidecar()
+                fixture.sidecar()
                         .loop()
-                        .execute(() -> rig.sidecar()
+                        .execute(() -> fixture.sidecar()
                                 .loop()
-                                .execute(() -> open.complete(rig.sidecar().clients())));
+                                .execute(() -> open.complete(fixture.sidecar().clients())));
             });
-            assertTrue(client.ends());
+            assertTrue(client.awaitClose());
         }
-        assertEquals(1, open.get(Wire.PATIENCE_MS, TimeUnit.MILLISECONDS));
-        rig.await(() -> rig.sidecar().clients() == 0);
+        assertEquals(1, open.get(RawConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS));
+        fixture.awaitOnEventLoop(() -> fixture.sidecar().clients() == 0);
     }
 }
--- a/sidecar/src/test/java/gradehub/node/CloseDelimitedAnswerTest.java
+++ b/sidecar/src/test/java/gradehub/node/CloseDelimitedAnswerTest.java
@@ -39,18 +39,18 @@
     private enum End {
         CLOSE {
             @Override
-            void of(Wire connection) throws IOException {
+            void of(RawConnection connection) throws IOException {
                 connection.close();
             }
         },
         RESET {
             @Override
-            void of(Wire connection) throws IOException {
+            void of(RawConnection connection) throws IOException {
                 connection.reset();
             }
         };
 
-        abstract void of(Wire connection) throws IOException;
+        abstract void of(RawConnection connection) throws IOException;
     }
 
     /** Counts what the event loop has read from upstreams: discovery says nothing in these tests. */
@@ -81,19 +81,21 @@
 
     private final ReadCounter counter = new ReadCounter();
     private final List<LookingChannel> opened = new CopyOnWriteArrayList<>();
-    private Rig rig;
+    private SidecarFixture fixture;
     private ServerSocket upstream;
 
     @BeforeEach
     void open() throws Exception {
-        rig = new Rig();
-        upstream = rig.listener();
-        rig.start(Rig.list(1, true, Rig.member("u1", Rig.address(upstream), "active")), this::counted);
+        fixture = new SidecarFixture();
+        upstream = fixture.listener();
+        fixture.start(
+                SidecarFixture.list(1, true, SidecarFixture.member("u1", SidecarFixture.address(upstream), "active")),
+                this::counted);
     }
 
     @AfterEach
     void close() throws Exception {
-        rig.close();
+        fixture.close();
     }
 
     private LookingChannel counted() {
@@ -109,24 +111,24 @@
     }
 
     /** Sends a request that may not be repeated, and returns the upstream's end once that has read it. */
-    private Wire request(Wire client, int number) throws IOException {
-        client.send(Rig.post(Rig.id(number), "x"));
-        Wire up = Rig.accept(upstream);
-        Wire.Message sent = up.read();
-        assertEquals(Rig.id(number), sent.header("X-Txn"), sent.first());
+    private RawConnection request(RawConnection client, int number) throws IOException {
+        client.send(SidecarFixture.postRequest(SidecarFixture.requestId(number), "x"));
+        RawConnection up = SidecarFixture.accept(upstream);
+        RawConnection.Message sent = up.read();
+        assertEquals(SidecarFixture.requestId(number), sent.header("X-Txn"), sent.startLine());
         return up;
     }
 
     /** The first part is read on its own, the rest in one go with the connection's end. */
-    private void answer(Wire up, String readBefore, String readWithEnd, End end) throws Throwable {
+    private void answer(RawConnection up, String readBefore, String readWithEnd, End end) throws Throwable {
         sendAndAwaitRead(up, readBefore);
-        rig.whileHeld(() -> end.of(up.send(readWithEnd)));
+        fixture.whileEventLoopBlocked(() -> end.of(up.send(readWithEnd)));
     }
 
-    private void sendAndAwaitRead(Wire up, String part) throws Exception {
+    private void sendAndAwaitRead(RawConnection up, String part) throws Exception {
         long expected = counter.bytes.get() + part.length();
         up.send(part);
-        rig.await(() -> counter.bytes.get() == expected);
+        fixture.awaitOnEventLoop(() -> counter.bytes.get() == expected);
     }
 
     /** Each way to divide an answer into what is read before its end, and with it. */
@@ -140,9 +142,9 @@
     @ParameterizedTest
     @MethodSource("divisions")
     void aCloseEndsTheAnswer(String readBefore, String readWithEnd) throws Throwable {
-        try (Wire client = rig.client()) {
+        try (RawConnection client = fixture.client()) {
             answer(request(client, 1), readBefore, readWithEnd, End.CLOSE);
-            Wire.Message answer = client.read();
+            RawConnection.Message answer = client.read();
             assertEquals(200, answer.status());
             assertEquals(BODY, answer.body());
         }
@@ -151,7 +153,7 @@
     @ParameterizedTest
     @MethodSource("divisions")
     void aResetBehindTheLastByteIsNoEnd(String readBefore, String readWithEnd) throws Throwable {
-        try (Wire client = rig.client()) {
+        try (RawConnection client = fixture.client()) {
             answer(request(client, 1), readBefore, readWithEnd, End.RESET);
             assertEquals(502, client.read().status());
         }
@@ -159,7 +161,7 @@
 
     /** Looks, on the event loop, until the end of the upstream's connection has been seen. */
     private void lookForTheEnd() {
-        long untilNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(Wire.PATIENCE_MS);
+        long untilNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(RawConnection.TIMEOUT_MS);
         LookingChannel channel = opened.stream()
                 .filter(LookingChannel::isActive)
                 .filter(active -> active.remoteAddress().getPort() == upstream.getLocalPort())
@@ -175,13 +177,13 @@
     @MethodSource("divisions")
     void aLookHidesNoEnd(String readBefore, String lookedAt) throws Throwable {
         for (End end : End.values()) {
-            try (Wire client = rig.client()) {
-                Wire up = request(client, end.ordinal());
+            try (RawConnection client = fixture.client()) {
+                RawConnection up = request(client, end.ordinal());
                 sendAndAwaitRead(up, readBefore);
                 AtomicReference<Future<?>> look = new AtomicReference<>();
-                rig.whileHeld(() -> {
+                fixture.whileEventLoopBlocked(() -> {
                     end.of(up.send(lookedAt));
-                    look.set(rig.sidecar().loop().submit(this::lookForTheEnd)); // before the loop reads again
+                    look.set(fixture.sidecar().loop().submit(this::lookForTheEnd)); // before the loop reads again
                 });
                 look.get().get();
                 assertEquals(end == End.CLOSE ? 200 : 502, client.read().status());
@@ -197,7 +199,7 @@
     @ParameterizedTest
     @MethodSource("partsOfAnAnswer")
     void aResetOnTheWayIsNoEnd(String readBefore, String readWithEnd) throws Throwable {
-        try (Wire client = rig.client()) {
+        try (RawConnection client = fixture.client()) {
             answer(request(client, 1), readBefore, readWithEnd, End.RESET);
             assertEquals(502, client.read().status());
         }
@@ -215,8 +217,8 @@
             })
     void aCloseEndsNoOtherAnswer(String part) throws Throwable {
         for (int held = 0; held < 2; held++) {
-            try (Wire client = rig.client()) {
-                Wire up = request(client, held);
+            try (RawConnection client = fixture.client()) {
+                RawConnection up = request(client, held);
                 answer(up, held == 0 ? part : "", held == 0 ? "" : part, End.CLOSE);
                 assertEquals(502, client.read().status());
             }
@@ -225,9 +227,9 @@
 
     @Test
     void anEmptyAnswerIsWholeAsWell() throws Throwable {
-        try (Wire client = rig.client()) {
+        try (RawConnection client = fixture.client()) {
             answer(request(client, 1), HEAD, "", End.CLOSE);
-            Wire.Message answer = client.read();
+            RawConnection.Message answer = client.read();
             assertEquals(200, answer.status());
             assertEquals("", answer.body());
         }
@@ -237,7 +239,7 @@
     @ParameterizedTest
     @ValueSource(strings = {"gzip\r\n\r\nall of it", "gzip, chunked\r\n\r\n9\r\nall of it\r\n0\r\n\r\n"})
     void anAnswerInAnUnknownCodingCannotBeRead(String codingAndBody) throws Throwable {
-        try (Wire client = rig.client()) {
+        try (RawConnection client = fixture.client()) {
             answer(request(client, 1), "", "HTTP/1.1 200 OK\r\nTransfer-Encoding: " + codingAndBody, End.CLOSE);
             assertEquals(502, client.read().status());
         }
@@ -246,7 +248,7 @@
     @ParameterizedTest
     @ValueSource(strings = {"chunked\r\n\r\n9\r\nall of it\r\n0\r\n\r\n", "identity\r\n\r\nall of it"})
     void anAnswerInAKnownCodingIsRead(String codingAndBody) throws Throwable {
-        try (Wire client = rig.client()) {
+        try (RawConnection client = fixture.client()) {
             answer(request(client, 1), "", "HTTP/1.1 200 OK\r\nTransfer-Encoding: " + codingAndBody, End.CLOSE);
             assertEquals(BODY, client.read().body());
         }
@@ -255,12 +257,12 @@
     /** It says that nothing ran, and is believed: the request goes out again. */
     @Test
     void aRequestThatIsTurnedAwayWithoutALengthIsSentAgain() throws Throwable {
-        try (Wire client = rig.client()) {
+        try (RawConnection client = fixture.client()) {
             String turnedAway = "HTTP/1.1 503 Service Unavailable\r\nX-Turned-Away: 1\r\n\r\nfull";
             answer(request(client, 1), "", turnedAway, End.CLOSE);
-            Wire again = Rig.accept(upstream);
-            assertEquals(Rig.id(1), again.read().header("X-Txn"));
-            again.send(Rig.answer("200 OK", "served"));
+            RawConnection again = SidecarFixture.accept(upstream);
+            assertEquals(SidecarFixture.requestId(1), again.read().header("X-Txn"));
+            again.send(SidecarFixture.answer("200 OK", "served"));
             assertEquals("served", client.read().body());
         }
     }
@@ -268,13 +270,13 @@
     /** Its connection has ended one way only so far: what is written to it would be lost. */
     @Test
     void theNextRequestGoesOverAnotherConnection() throws Throwable {
-        try (Wire client = rig.client()) {
-            Wire first = request(client, 1);
+        try (RawConnection client = fixture.client()) {
+            RawConnection first = request(client, 1);
             answer(first, HEAD, BODY, End.CLOSE);
             assertEquals(BODY, client.read().body());
-            rig.awaitRested();
-            Wire second = request(client, 2);
-            second.send(Rig.answer("200 OK", "two"));
+            fixture.awaitIdleUpstreams();
+            RawConnection second = request(client, 2);
+            second.send(SidecarFixture.answer("200 OK", "two"));
             assertEquals("two", client.read().body());
         }
     }
@@ -284,12 +286,15 @@
     @ValueSource(strings = {"", "it"})
     void anAnswerThatHasEndedInTimeIsNotGivenUp(String unread) throws Throwable {
         HoldBehindFirstRead hold = new HoldBehindFirstRead();
-        try (Rig held = new Rig();
+        try (SidecarFixture held = new SidecarFixture();
                 ServerSocket listener = held.listener()) {
-            held.start(Rig.list(1, true, Rig.member("u1", Rig.address(listener), "active")), () -> with(hold));
-            try (Wire client = held.client()) {
-                client.send(Rig.post(Rig.id(1), "x"));
-                Wire up = Rig.accept(listener);
+            held.start(
+                    SidecarFixture.list(
+                            1, true, SidecarFixture.member("u1", SidecarFixture.address(listener), "active")),
+                    () -> with(hold));
+            try (RawConnection client = held.client()) {
+                client.send(SidecarFixture.postRequest(SidecarFixture.requestId(1), "x"));
+                RawConnection up = SidecarFixture.accept(listener);
                 up.read();
                 up.send(HEAD + "all of ");
                 hold.holds.await();
@@ -299,7 +304,7 @@
                     Thread.onSpinWait();
                 }
                 hold.released.countDown();
-                Wire.Message answer = client.read();
+                RawConnection.Message answer = client.read();
                 assertEquals(200, answer.status());
                 assertEquals("all of " + unread, answer.body());
             } finally {
@@ -311,11 +316,11 @@
     /** While the connection stays open nothing tells whether more is to come: it is given up as any other in part. */
     @Test
     void anAnswerThatIsNeverEndedIsNotWaitedFor() throws Throwable {
-        try (Wire client = rig.client()) {
-            Wire up = request(client, 1);
+        try (RawConnection client = fixture.client()) {
+            RawConnection up = request(client, 1);
             up.send(HEAD + BODY);
             assertEquals(502, client.read().status());
-            assertTrue(up.ends());
+            assertTrue(up.awaitClose());
         }
     }
 }
--- a/sidecar/src/test/java/gradehub/node/ConfigTest.java
+++ b/sidecar/src/test/java/gradehub/node/ConfigTest.java
@@ -21,27 +21,27 @@
 
     @Test
     void nestedSettingsReadLikeTheAdaptersLines() throws Exception {
-        try (Rig rig = new Rig()) {
-            Config config = Config.of(rig.config(null));
+        try (SidecarFixture fixture = new SidecarFixture()) {
+            Config config = Config.parse(fixture.config(null));
             assertEquals(2, config.settings().classes().size());
             assertEquals(Effect.UNSAFE, config.settings().classes().get(1).effect());
             assertEquals(3, config.settings().reportFields().size());
             assertEquals(6, config.settings().limits().maxAttempts());
             assertEquals(5000, config.connectTimeoutMs());
-            assertEquals(20, config.slackMs());
+            assertEquals(20, config.answerSlackMs());
         }
     }
 
     @Test
     void aBadConfigurationNamesTheKey() throws Exception {
-        assertNamed("BALANCER_CONFIG", assertThrows(Config.BadConfigException.class, () -> Config.load(Map.of())));
+        assertNamed("BALANCER_CONFIG", assertThrows(Config.InvalidConfigException.class, () -> Config.load(Map.of())));
         for (String key : new String[] {"listen", "discovery", "seed", "settings"}) {
-            try (Rig rig = new Rig()) {
-                ObjectNode root = rig.config(null);
+            try (SidecarFixture fixture = new SidecarFixture()) {
+                ObjectNode root = fixture.config(null);
                 root.remove(key);
-                assertNamed(key, assertThrows(Config.BadConfigException.class, () -> Config.of(root)));
+                assertNamed(key, assertThrows(Config.InvalidConfigException.class, () -> Config.parse(root)));
                 root.put(key, "neither here nor there");
-                assertNamed(key, assertThrows(Config.BadConfigException.class, () -> Config.of(root)));
+                assertNamed(key, assertThrows(Config.InvalidConfigException.class, () -> Config.parse(root)));
             }
         }
     }
@@ -59,16 +59,17 @@
                 new BufferedReader(new InputStreamReader(process.getErrorStream(), StandardCharsets.UTF_8))) {
             assertEquals("gradehub: settings: missing, or no object", log.readLine());
         }
-        assertTrue(process.waitFor(Wire.PATIENCE_MS, TimeUnit.MILLISECONDS));
+        assertTrue(process.waitFor(RawConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS));
         assertEquals(2, process.exitValue());
     }
 
     /** The virtual machine by itself would end with the signal's status, and cut short what is in hand. */
     @Test
     void theProgramEndsWellOnSigterm(@TempDir Path dir) throws Exception {
-        try (Rig rig = new Rig()) {
+        try (SidecarFixture fixture = new SidecarFixture()) {
             Path file = Files.writeString(
-                    dir.resolve("config.json"), rig.config(Rig.list(1, true)).toString());
+                    dir.resolve("config.json"),
+                    fixture.config(SidecarFixture.list(1, true)).toString());
             Process process = serve(file);
             // It watches once it runs; the log then tells that it listens.
             try (BufferedReader log =
@@ -78,7 +79,7 @@
                     line = log.readLine();
                 }
                 process.destroy();
-                assertTrue(process.waitFor(Wire.PATIENCE_MS, TimeUnit.MILLISECONDS));
+                assertTrue(process.waitFor(RawConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS));
                 assertEquals(0, process.exitValue());
             } finally {
                 process.destroyForcibly();
--- a/sidecar/src/test/java/gradehub/node/DescriptorTest.java
+++ b/sidecar/src/test/java/gradehub/node/DescriptorTest.java
@@ -14,19 +14,19 @@
 /** Descriptors that have run out: whatever could not be opened for want of one, and nothing else, has failed. */
 class DescriptorTest {
 
-    private Rig rig;
+    private SidecarFixture fixture;
     private ServerSocket upstream;
     private final AtomicBoolean out = new AtomicBoolean();
 
     @BeforeEach
     void open() throws Exception {
-        rig = new Rig();
-        upstream = rig.listener();
+        fixture = new SidecarFixture();
+        upstream = fixture.listener();
     }
 
     @AfterEach
     void close() throws Exception {
-        rig.close();
+        fixture.close();
     }
 
     private LookingChannel opened() {
@@ -37,49 +37,49 @@
     }
 
     private String list() {
-        return Rig.list(1, true, Rig.member("u1", Rig.address(upstream), "active"));
+        return SidecarFixture.list(1, true, SidecarFixture.member("u1", SidecarFixture.address(upstream), "active"));
     }
 
     @Test
     void aWatchThatFindsNoSocketIsTriedAgain() throws Exception {
-        rig.start(list(), this::opened);
-        Wire watch = rig.watch();
+        fixture.start(list(), this::opened);
+        RawConnection watch = fixture.acceptWatch();
         out.set(true);
         watch.close();
-        rig.await(() -> rig.sidecar().watchPauseMs() > 0); // the first try has found none
+        fixture.awaitOnEventLoop(() -> fixture.sidecar().watchPauseMs() > 0); // the first try has found none
         out.set(false);
-        Rig.accept(rig.discovery).read();
-        rig.assertServed(1, upstream);
+        SidecarFixture.accept(fixture.discovery).read();
+        fixture.assertServed(1, upstream);
     }
 
     @Test
     void anAttemptThatFindsNoSocketHasFailedAndNothingElse() throws Exception {
-        rig.start(list(), this::opened);
-        rig.watch();
+        fixture.start(list(), this::opened);
+        fixture.acceptWatch();
         out.set(true);
-        try (Wire client = rig.client()) {
-            client.send(Rig.post(Rig.id(1), "x"));
+        try (RawConnection client = fixture.client()) {
+            client.send(SidecarFixture.postRequest(SidecarFixture.requestId(1), "x"));
             assertEquals(503, client.read().status(), "it never ran: coming again is harmless");
         }
         out.set(false);
-        rig.assertServed(2, upstream);
+        fixture.assertServed(2, upstream);
     }
 
     /** Clients that say nothing more hold all that they may: discovery and upstreams have their own part. */
     @Test
     void clientsThatRestTakeNoSocketFromDiscoveryOrUpstreams() throws Exception {
         int room = 20;
-        rig.start(list(), SocketBudget.LEAST + room);
-        Wire watch = rig.watch();
-        List<Wire> resting = new ArrayList<>();
+        fixture.start(list(), SocketBudget.LEAST + room);
+        RawConnection watch = fixture.acceptWatch();
+        List<RawConnection> resting = new ArrayList<>();
         for (int i = 0; i < room; i++) {
-            resting.add(rig.client());
+            resting.add(fixture.client());
         }
-        rig.await(() -> rig.sidecar().clients() >= room / 2);
+        fixture.awaitOnEventLoop(() -> fixture.sidecar().clients() >= room / 2);
         watch.close();
-        Rig.accept(rig.discovery).read();
-        rig.assertServed(1, upstream);
-        for (Wire client : resting) {
+        SidecarFixture.accept(fixture.discovery).read();
+        fixture.assertServed(1, upstream);
+        for (RawConnection client : resting) {
             client.close();
         }
     }
--- a/sidecar/src/test/java/gradehub/node/EngineTest.java
+++ b/sidecar/src/test/java/gradehub/node/EngineTest.java
@@ -36,8 +36,8 @@
     }
 
     private Engine engine(Function<Balancer.Actions, Balancer> module) throws Exception {
-        try (Rig rig = new Rig()) {
-            Config config = Config.of(rig.config(null));
+        try (SidecarFixture fixture = new SidecarFixture()) {
+            Config config = Config.parse(fixture.config(null));
             return loop.submit(() ->
                             new Engine(loop, new Clock(), config, new SocketBudget(1024), LookingChannel::new, module))
                     .get();
@@ -68,7 +68,7 @@
                 return false;
             }
         }));
-        return answer.get(Wire.PATIENCE_MS, TimeUnit.MILLISECONDS);
+        return answer.get(RawConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS);
     }
 
     private int inHand(Engine engine) throws Exception {
@@ -148,9 +148,10 @@
                 actions.refuse(end.request(), 0);
             }
         });
-        try (Rig rig = new Rig()) {
-            String list = Rig.list(1, true, Rig.member("u1", Rig.address(rig.listener()), "leaving"));
-            MemberReader reader = Config.of(rig.config(null)).members();
+        try (SidecarFixture fixture = new SidecarFixture()) {
+            String list = SidecarFixture.list(
+                    1, true, SidecarFixture.member("u1", SidecarFixture.address(fixture.listener()), "leaving"));
+            MemberReader reader = Config.parse(fixture.config(null)).members();
             MemberReader.Update update = reader.read(Config.JSON.readTree(list));
             loop.submit(() -> engine.upstreams(Balancer.ListKind.FULL, update, 0))
                     .get();
--- a/sidecar/src/test/java/gradehub/node/FailedWriteTest.java
+++ b/sidecar/src/test/java/gradehub/node/FailedWriteTest.java
@@ -28,7 +28,7 @@
 
     @AfterEach
     void close() {
-        loops.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly(Wire.PATIENCE_MS);
+        loops.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly(RawConnection.TIMEOUT_MS);
     }
 
     /** Puts a handler next to the socket of each client that is accepted. */
@@ -61,8 +61,8 @@
     void theAnswerBehindOneThatWasNotWrittenIsNotWrittenEither() throws Exception {
         AtomicInteger checks = new AtomicInteger(); // the first is answered 200, the second 503
         Clock clock = new Clock();
-        try (Rig rig = new Rig()) {
-            Config config = Config.of(rig.config(null));
+        try (SidecarFixture fixture = new SidecarFixture()) {
+            Config config = Config.parse(fixture.config(null));
             SocketBudget sockets = new SocketBudget(DESCRIPTORS);
             ClientServer server = new ClientServer(
                     loops.next(), clock, config.settings(), null, sockets, () -> checks.incrementAndGet() == 1);
@@ -71,7 +71,7 @@
             loops.next()
                     .submit(() -> listener.pipeline().addFirst(new Accepting()))
                     .syncUninterruptibly();
-            try (Wire client = Wire.to((InetSocketAddress) listener.localAddress())) {
+            try (RawConnection client = RawConnection.connect((InetSocketAddress) listener.localAddress())) {
                 client.send(READY + READY);
                 assertThrows(IOException.class, client::read);
             }
--- a/sidecar/src/test/java/gradehub/node/LateReadTest.java
+++ b/sidecar/src/test/java/gradehub/node/LateReadTest.java
@@ -19,23 +19,25 @@
     private static final int SHORT_MS = 1500; // over by the end of the stall; enough to be sent on if it were not
     private static final int LONG_MS = 10_000; // under the aim of the class, which bounds it as well
 
-    private Rig rig;
+    private SidecarFixture fixture;
     private ServerSocket upstream;
 
     @BeforeEach
     void open() throws Exception {
-        rig = new Rig();
-        upstream = rig.listener();
-        rig.start(Rig.list(1, true, Rig.member("u1", Rig.address(upstream), "active")));
+        fixture = new SidecarFixture();
+        upstream = fixture.listener();
+        fixture.start(
+                SidecarFixture.list(1, true, SidecarFixture.member("u1", SidecarFixture.address(upstream), "active")));
     }
 
     @AfterEach
     void close() throws Exception {
-        rig.close();
+        fixture.close();
     }
 
     private static String request(int number, int remainingMs) {
-        return Rig.post(Rig.id(number), "x").replaceAll("X-Remaining-Ms: \\d+", "X-Remaining-Ms: " + remainingMs);
+        return SidecarFixture.postRequest(SidecarFixture.requestId(number), "x")
+                .replaceAll("X-Remaining-Ms: \\d+", "X-Remaining-Ms: " + remainingMs);
     }
 
     private static void stall() {
@@ -47,17 +49,19 @@
 
     /** The first that the upstream sees comes behind the ones that were over. */
     private void assertNoneIsSentOn() throws Exception {
-        try (Wire later = rig.client()) {
+        try (RawConnection later = fixture.client()) {
             later.send(request(99, LONG_MS));
-            assertEquals(Rig.id(99), Rig.accept(upstream).read().header("X-Txn"));
+            assertEquals(
+                    SidecarFixture.requestId(99),
+                    SidecarFixture.accept(upstream).read().header("X-Txn"));
         }
     }
 
     @Test
     void aRequestWhoseTimeIsOverWhenItIsReadIsRefusedAtOnce() throws Throwable {
-        try (Wire client = rig.client()) {
+        try (RawConnection client = fixture.client()) {
             client.send(READY).read();
-            rig.whileHeld(() -> {
+            fixture.whileEventLoopBlocked(() -> {
                 client.send(request(1, SHORT_MS));
                 stall();
             });
@@ -69,10 +73,10 @@
     /** The periodic task runs behind the one that stalled, and only then the sockets are read. */
     @Test
     void theLagIsRememberedUntilTheSocketsHaveBeenRead() throws Throwable {
-        try (Wire client = rig.client()) {
+        try (RawConnection client = fixture.client()) {
             client.send(READY).read();
-            rig.whileHeld(() -> {
-                rig.sidecar().loop().execute(rig.sidecar()::lookAtClients);
+            fixture.whileEventLoopBlocked(() -> {
+                fixture.sidecar().loop().execute(fixture.sidecar()::closeOverdueClients);
                 client.send(request(1, SHORT_MS));
                 stall();
             });
@@ -83,14 +87,14 @@
 
     @Test
     void theWaitToBeAcceptedCountsForEachOfManyClients() throws Throwable {
-        List<Wire> clients = new ArrayList<>();
-        rig.whileHeld(() -> {
+        List<RawConnection> clients = new ArrayList<>();
+        fixture.whileEventLoopBlocked(() -> {
             for (int i = 0; i < 10; i++) {
-                clients.add(rig.client().send(request(i, SHORT_MS)));
+                clients.add(fixture.client().send(request(i, SHORT_MS)));
             }
             stall();
         });
-        for (Wire client : clients) {
+        for (RawConnection client : clients) {
             assertEquals(503, client.read().status());
             client.close();
         }
@@ -99,13 +103,13 @@
 
     @Test
     void anUpstreamIsToldWhatIsLeftToTheClient() throws Throwable {
-        try (Wire client = rig.client()) {
+        try (RawConnection client = fixture.client()) {
             client.send(READY).read();
-            rig.whileHeld(() -> {
+            fixture.whileEventLoopBlocked(() -> {
                 client.send(request(1, LONG_MS));
                 stall();
             });
-            int toldMs = Integer.parseInt(Rig.accept(upstream).read().header("X-Remaining-Ms"));
+            int toldMs = Integer.parseInt(SidecarFixture.accept(upstream).read().header("X-Remaining-Ms"));
             assertTrue(toldMs <= LONG_MS - SHORT_MS, "told " + toldMs + " ms");
         }
     }
@@ -113,11 +117,11 @@
     /** Once the sockets have been read a lag is over: what comes later has not waited. */
     @Test
     void whatComesAfterAStallHasItsWholeTime() throws Throwable {
-        rig.whileHeld(LateReadTest::stall);
-        rig.await(() -> rig.sidecar().lagMs() == 0);
-        try (Wire client = rig.client()) {
+        fixture.whileEventLoopBlocked(LateReadTest::stall);
+        fixture.awaitOnEventLoop(() -> fixture.sidecar().lagMs() == 0);
+        try (RawConnection client = fixture.client()) {
             client.send(request(1, LONG_MS));
-            int toldMs = Integer.parseInt(Rig.accept(upstream).read().header("X-Remaining-Ms"));
+            int toldMs = Integer.parseInt(SidecarFixture.accept(upstream).read().header("X-Remaining-Ms"));
             assertTrue(toldMs > LONG_MS - SHORT_MS, "told " + toldMs + " ms");
         }
     }
--- a/sidecar/src/test/java/gradehub/node/Wire.java
+++ b/sidecar/src/test/java/gradehub/node/RawConnection.java
@@ -14,16 +14,16 @@
 import java.util.concurrent.TimeUnit;
 
 /** One end of an HTTP/1.1 connection, byte for byte: the tests want to break off wherever they like. */
-final class Wire implements AutoCloseable {
+final class RawConnection implements AutoCloseable {
 
     /** How long a test waits for what must come; it is no margin, only the end of a test that has failed. */
-    static final int PATIENCE_MS = 60_000;
+    static final int TIMEOUT_MS = 60_000;
 
     /** The first line, the headers in lower case and the body of one message. */
-    record Message(String first, String head, String body) {
+    record Message(String startLine, String headers, String body) {
 
         String header(String name) {
-            for (String line : head.split("\r\n")) {
+            for (String line : headers.split("\r\n")) {
                 if (line.toLowerCase(Locale.ROOT).startsWith(name.toLowerCase(Locale.ROOT) + ":")) {
                     return line.substring(name.length() + 1).trim();
                 }
@@ -32,34 +32,34 @@
         }
 
         int status() {
-            return Integer.parseInt(first.split(" ")[1]);
+            return Integer.parseInt(startLine.split(" ")[1]);
         }
     }
 
     private final Socket socket;
     private final InputStream in;
 
-    Wire(Socket socket) throws IOException {
+    RawConnection(Socket socket) throws IOException {
         this.socket = socket;
-        socket.setSoTimeout(PATIENCE_MS);
+        socket.setSoTimeout(TIMEOUT_MS);
         socket.setTcpNoDelay(true);
         in = new BufferedInputStream(socket.getInputStream());
     }
 
     /** From now on this long for what must come, in place of the usual patience. */
-    void patienceMs(int patienceMs) throws IOException {
-        socket.setSoTimeout(patienceMs);
+    void setReadTimeoutMs(int timeoutMs) throws IOException {
+        socket.setSoTimeout(timeoutMs);
     }
 
-    static Wire to(InetSocketAddress address) throws IOException {
-        return new Wire(new Socket(address.getAddress(), address.getPort()));
+    static RawConnection connect(InetSocketAddress address) throws IOException {
+        return new RawConnection(new Socket(address.getAddress(), address.getPort()));
     }
 
     static InetAddress loopback() {
         return InetAddress.getLoopbackAddress();
     }
 
-    Wire send(String text) throws IOException {
+    RawConnection send(String text) throws IOException {
         socket.getOutputStream().write(text.getBytes(StandardCharsets.UTF_8));
         socket.getOutputStream().flush();
         return this;
@@ -80,12 +80,12 @@
         Message message = new Message(text.substring(0, firstEnds), text.substring(firstEnds + 2), "");
         String length = message.header("Content-Length");
         byte[] body = in.readNBytes(length == null ? 0 : Integer.parseInt(length));
-        return new Message(message.first(), message.head(), new String(body, StandardCharsets.UTF_8));
+        return new Message(message.startLine(), message.headers(), new String(body, StandardCharsets.UTF_8));
     }
 
     /** Waits until something has come, and leaves it unread. */
     void awaitInput() throws IOException {
-        long untilNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(PATIENCE_MS);
+        long untilNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(TIMEOUT_MS);
         while (socket.getInputStream().available() == 0) {
             if (System.nanoTime() > untilNanos) {
                 throw new SocketTimeoutException("nothing came");
@@ -95,7 +95,7 @@
     }
 
     /** Waits until the other side has closed. */
-    boolean ends() throws IOException {
+    boolean awaitClose() throws IOException {
         try {
             return in.read() < 0;
         } catch (java.net.SocketException e) {
--- a/sidecar/src/test/java/gradehub/node/RegistrationFaultIT.java
+++ b/sidecar/src/test/java/gradehub/node/RegistrationFaultIT.java
@@ -31,18 +31,18 @@
     private Path folder;
 
     private SyscallFaults faults;
-    private Rig rig;
-    private Wire watch;
+    private SidecarFixture fixture;
+    private RawConnection watch;
 
     @BeforeEach
     void open() throws Exception {
         faults = new SyscallFaults(folder, SEED);
-        rig = new Rig();
+        fixture = new SidecarFixture();
     }
 
     @AfterEach
     void close() throws Exception {
-        rig.close();
+        fixture.close();
     }
 
     private void failRegistrations() {
@@ -50,23 +50,23 @@
     }
 
     private static String listOf(String address) {
-        return Rig.list(1, true, Rig.member("u1", address, "active"));
+        return SidecarFixture.list(1, true, SidecarFixture.member("u1", address, "active"));
     }
 
     /** A sidecar that has been told this list by a watch of the test's, and is ready. */
     private SidecarProcess startWith(String list) throws Exception {
-        SidecarProcess sidecar = SidecarProcess.start(folder, rig.config(null), faults.environment());
-        watch = rig.watch().send(Rig.chunk(list));
+        SidecarProcess sidecar = SidecarProcess.start(folder, fixture.config(null), faults.environment());
+        watch = fixture.acceptWatch().send(SidecarFixture.chunk(list));
         sidecar.awaitReady();
         return sidecar;
     }
 
     private void assertRegistrationsFailed() {
-        assertTrue(faults.injected(Call.EPOLL_CTL) > 0, "registrations failed");
+        assertTrue(faults.injectedCount(Call.EPOLL_CTL) > 0, "registrations failed");
     }
 
-    private static void assertServed(Wire client, int number) throws Exception {
-        client.send(Rig.get(Rig.id(number), REMAINING_MS));
+    private static void assertServed(RawConnection client, int number) throws Exception {
+        client.send(SidecarFixture.getRequest(SidecarFixture.requestId(number), REMAINING_MS));
         assertEquals(200, client.read().status());
     }
 
@@ -74,13 +74,13 @@
     @Test
     void aSidecarThatCanRegisterNothingStartsAndServesAndHearsSignals() throws Exception {
         failRegistrations();
-        try (AnsweringPeer upstream = AnsweringPeer.upstream();
-                AnsweringPeer discovery = AnsweringPeer.discovery(listOf(upstream.address()));
-                AnsweringPeer moved = AnsweringPeer.discovery(listOf(upstream.address()));
+        try (StubServer upstream = StubServer.upstream();
+                StubServer discovery = StubServer.discovery(listOf(upstream.address()));
+                StubServer moved = StubServer.discovery(listOf(upstream.address()));
                 SidecarProcess sidecar = SidecarProcess.start(
-                        folder, rig.config(null).put("discovery", discovery.address()), faults.environment())) {
+                        folder, fixture.config(null).put("discovery", discovery.address()), faults.environment())) {
             sidecar.awaitReady();
-            try (Wire client = sidecar.client()) {
+            try (RawConnection client = sidecar.client()) {
                 assertServed(client, 1);
                 assertServed(client, 2);
             }
@@ -89,12 +89,12 @@
                     sidecar.config(), config.put("discovery", moved.address()).toString());
             sidecar.signal("HUP");
             long untilNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(STOP_MS);
-            while (moved.requests() == 0) {
+            while (moved.requestCount() == 0) {
                 assertTrue(System.nanoTime() < untilNanos, "the new discovery is never called: " + sidecar.log());
                 TimeUnit.MILLISECONDS.sleep(1);
             }
             assertRegistrationsFailed();
-            assertTrue(sidecar.endsBySigterm(STOP_MS), "SIGTERM ends it");
+            assertTrue(sidecar.exitsOnSigterm(STOP_MS), "SIGTERM ends it");
             assertEquals(0, sidecar.process().exitValue());
         }
     }
@@ -102,10 +102,10 @@
     /** A client whose connection could not be registered had no answer. */
     @Test
     void aClientThatCannotBeRegisteredIsServed() throws Exception {
-        try (AnsweringPeer upstream = AnsweringPeer.upstream();
+        try (StubServer upstream = StubServer.upstream();
                 SidecarProcess sidecar = startWith(listOf(upstream.address()))) {
             failRegistrations();
-            try (Wire client = sidecar.client()) {
+            try (RawConnection client = sidecar.client()) {
                 assertServed(client, 1);
                 assertServed(client, 2);
             }
@@ -116,14 +116,14 @@
     /** A connection to an upstream that could not be registered never came up, or its answer was never read. */
     @Test
     void anUpstreamThatCannotBeRegisteredIsHeard() throws Exception {
-        ServerSocket upstream = rig.listener();
-        try (SidecarProcess sidecar = startWith(listOf(Rig.address(upstream)));
-                Wire client = sidecar.client()) {
-            client.send(Rig.get(Rig.id(1), REMAINING_MS));
+        ServerSocket upstream = fixture.listener();
+        try (SidecarProcess sidecar = startWith(listOf(SidecarFixture.address(upstream)));
+                RawConnection client = sidecar.client()) {
+            client.send(SidecarFixture.getRequest(SidecarFixture.requestId(1), REMAINING_MS));
             answer(upstream, "Connection: close");
             assertEquals(200, client.read().status());
             failRegistrations();
-            client.send(Rig.get(Rig.id(2), REMAINING_MS));
+            client.send(SidecarFixture.getRequest(SidecarFixture.requestId(2), REMAINING_MS));
             answer(upstream, "Connection: close");
             assertEquals(200, client.read().status(), sidecar.log());
             assertRegistrationsFailed();
@@ -134,7 +134,7 @@
     private static void awaitConnecting(SidecarProcess sidecar, int port) throws Exception {
         Path network = Path.of("/proc", String.valueOf(sidecar.process().pid()), "net");
         String connecting = String.format(":%04X 02 ", port);
-        long untilNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(Wire.PATIENCE_MS);
+        long untilNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(RawConnection.TIMEOUT_MS);
         while (!Files.readString(network.resolve("tcp")).contains(connecting)
                 && !Files.readString(network.resolve("tcp6")).contains(connecting)) {
             assertTrue(System.nanoTime() < untilNanos, "it does not connect");
@@ -144,26 +144,27 @@
 
     /** Accepts one connection and answers the request on it. */
     private static void answer(ServerSocket upstream, String header) throws Exception {
-        Wire wire = Rig.accept(upstream);
+        RawConnection wire = SidecarFixture.accept(upstream);
         wire.read();
-        wire.send(Rig.answer("200 OK", "", header));
+        wire.send(SidecarFixture.answer("200 OK", "", header));
     }
 
     /** A call to discovery that could not be registered was given up after the connect time, again and again. */
     @Test
     void discoveryThatCannotBeRegisteredIsHeard() throws Exception {
-        try (AnsweringPeer former = AnsweringPeer.upstream();
-                AnsweringPeer next = AnsweringPeer.upstream();
+        try (StubServer former = StubServer.upstream();
+                StubServer next = StubServer.upstream();
                 SidecarProcess sidecar = startWith(listOf(former.address()));
-                Wire client = sidecar.client()) {
+                RawConnection client = sidecar.client()) {
             assertServed(client, 1);
             failRegistrations();
             watch.close();
-            try (Wire again = rig.watch()) {
-                again.send(Rig.chunk(Rig.list(2, true, Rig.member("u2", next.address(), "active"))));
+            try (RawConnection again = fixture.acceptWatch()) {
+                again.send(SidecarFixture.chunk(
+                        SidecarFixture.list(2, true, SidecarFixture.member("u2", next.address(), "active"))));
                 int number = 2;
                 long untilNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(REMAINING_MS);
-                while (next.requests() == 0) {
+                while (next.requestCount() == 0) {
                     assertTrue(System.nanoTime() < untilNanos, "the new list is not used: " + sidecar.log());
                     assertServed(client, number++);
                 }
@@ -175,16 +176,16 @@
     /** Output that waited to be told of a writable socket was never written. */
     @Test
     void outputThatWaitsForAFailedRegistrationIsWritten() throws Exception {
-        try (AnsweringPeer upstream = AnsweringPeer.upstream();
+        try (StubServer upstream = StubServer.upstream();
                 SidecarProcess sidecar = startWith(listOf(upstream.address()));
-                Wire client = sidecar.client()) {
+                RawConnection client = sidecar.client()) {
             assertServed(client, 1);
             failRegistrations();
             faults.set(Call.WRITE, Error.EAGAIN, 50);
             for (int number = 2; number < 12; number++) {
                 assertServed(client, number);
             }
-            assertTrue(faults.injected(Call.WRITE) > 0, "writes failed");
+            assertTrue(faults.injectedCount(Call.WRITE) > 0, "writes failed");
             assertRegistrationsFailed();
         }
     }
@@ -192,27 +193,27 @@
     /** A change that failed made the selector return without end; with the next selector nothing was registered. */
     @Test
     void aClientThatIsLostToTheNextSelectorIsServed() throws Exception {
-        try (Rig.Gate gate = new Rig.Gate();
-                SidecarProcess sidecar = startWith(listOf(Rig.address(gate.listener)));
-                Wire waiting = sidecar.client();
-                Wire resting = sidecar.client()) {
-            waiting.send(Rig.get(Rig.id(1), REMAINING_MS));
+        try (SidecarFixture.FullBacklogListener gate = new SidecarFixture.FullBacklogListener();
+                SidecarProcess sidecar = startWith(listOf(SidecarFixture.address(gate.listener)));
+                RawConnection waiting = sidecar.client();
+                RawConnection resting = sidecar.client()) {
+            waiting.send(SidecarFixture.getRequest(SidecarFixture.requestId(1), REMAINING_MS));
             awaitConnecting(sidecar, gate.listener.getLocalPort());
             resting.send("GET /ready HTTP/1.1\r\n\r\n"); // an event loop that answers has registered the connect
             assertEquals(200, resting.read().status());
             failRegistrations();
-            try (Wire upstream = gate.open()) {
+            try (RawConnection upstream = gate.drainAndAccept()) {
                 upstream.read();
-                upstream.send(Rig.answer("200 OK", ""));
+                upstream.send(SidecarFixture.answer("200 OK", ""));
                 assertEquals(200, waiting.read().status());
             }
-            long untilNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(Wire.PATIENCE_MS);
+            long untilNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(RawConnection.TIMEOUT_MS);
             while (!sidecar.log().contains("rebuilding Selector")) {
                 assertTrue(System.nanoTime() < untilNanos, "no other selector: " + sidecar.log());
                 TimeUnit.MILLISECONDS.sleep(1);
             }
             resting.send("GET /ready HTTP/1.1\r\n\r\n");
-            resting.patienceMs(REMAINING_MS);
+            resting.setReadTimeoutMs(REMAINING_MS);
             assertEquals(200, resting.read().status());
             assertRegistrationsFailed();
         }
--- a/sidecar/src/test/java/gradehub/node/RehearsalTest.java
+++ b/sidecar/src/test/java/gradehub/node/RehearsalTest.java
@@ -12,7 +12,7 @@
     /** On a part of a core each request takes far longer than here; that must not make it end half compiled. */
     @Test
     void aSlowStartStillRehearsesEachRequest() throws Exception {
-        assertEquals(Rehearsal.REQUESTS, Rehearsal.rehearse(1, inMs(Wire.PATIENCE_MS)));
+        assertEquals(Rehearsal.REQUESTS, Rehearsal.rehearse(1, inMs(RawConnection.TIMEOUT_MS)));
     }
 
     private static long inMs(long ms) {
@@ -23,9 +23,9 @@
     @Test
     void aRehearsalEndsInTimeWhateverIsUnderWay() throws Exception {
         long startNanos = System.nanoTime();
-        assertEquals(0, Rehearsal.rehearse(Wire.PATIENCE_MS, inMs(300)));
+        assertEquals(0, Rehearsal.rehearse(RawConnection.TIMEOUT_MS, inMs(300)));
         long tookMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNanos);
-        assertTrue(tookMs < Wire.PATIENCE_MS / 2, "it took " + tookMs + " ms");
+        assertTrue(tookMs < RawConnection.TIMEOUT_MS / 2, "it took " + tookMs + " ms");
     }
 
     /** On a small part of a core the time may be over before the sidecar that rehearses is up. */
--- a/sidecar/src/test/java/gradehub/node/ReloadTest.java
+++ b/sidecar/src/test/java/gradehub/node/ReloadTest.java
@@ -48,34 +48,38 @@
             return true;
         });
         hangUp();
-        assertTrue(twice.await(Wire.PATIENCE_MS, TimeUnit.MILLISECONDS));
+        assertTrue(twice.await(RawConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS));
     }
 
     /** The new address is watched at once, for its whole list whatever its revision; the old watch ends. */
     @Test
     void anotherDiscoveryIsWatchedAndTheOldOneLeft() throws Exception {
-        try (Rig rig = new Rig()) {
-            ServerSocket first = rig.listener();
-            ServerSocket second = rig.listener();
-            ServerSocket moved = rig.listener();
-            rig.start(Rig.list(41, true, Rig.member("u1", Rig.address(first), "active")));
-            Wire old = rig.watch();
-            ObjectNode config = rig.config(null).put("discovery", Rig.address(moved));
-            rig.sidecar().reload(file(config.toString()));
-            Wire watch = Rig.accept(moved);
-            assertEquals("GET /v1/endpoints?watch=1 HTTP/1.1", watch.read().first());
-            assertTrue(old.ends());
-            try (Wire client = rig.client()) {
-                client.send(Rig.get(Rig.id(1)));
-                Wire up = Rig.accept(first);
+        try (SidecarFixture fixture = new SidecarFixture()) {
+            ServerSocket first = fixture.listener();
+            ServerSocket second = fixture.listener();
+            ServerSocket moved = fixture.listener();
+            fixture.start(SidecarFixture.list(
+                    41, true, SidecarFixture.member("u1", SidecarFixture.address(first), "active")));
+            RawConnection old = fixture.acceptWatch();
+            ObjectNode config = fixture.config(null).put("discovery", SidecarFixture.address(moved));
+            fixture.sidecar().reload(file(config.toString()));
+            RawConnection watch = SidecarFixture.accept(moved);
+            assertEquals("GET /v1/endpoints?watch=1 HTTP/1.1", watch.read().startLine());
+            assertTrue(old.awaitClose());
+            try (RawConnection client = fixture.client()) {
+                client.send(SidecarFixture.getRequest(SidecarFixture.requestId(1)));
+                RawConnection up = SidecarFixture.accept(first);
                 up.read();
-                up.send(Rig.answer("200 OK", "one"));
+                up.send(SidecarFixture.answer("200 OK", "one"));
                 assertEquals("one", client.read().body(), "until the new list comes the old one stands");
                 watch.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-                        + Rig.chunk(Rig.list(3, true, Rig.member("u2", Rig.address(second), "active"))));
-                assertTrue(up.ends());
-                client.send(Rig.get(Rig.id(2)));
-                assertEquals(Rig.id(2), Rig.accept(second).read().header("X-Txn"));
+                        + SidecarFixture.chunk(SidecarFixture.list(
+                                3, true, SidecarFixture.member("u2", SidecarFixture.address(second), "active"))));
+                assertTrue(up.awaitClose());
+                client.send(SidecarFixture.getRequest(SidecarFixture.requestId(2)));
+                assertEquals(
+                        SidecarFixture.requestId(2),
+                        SidecarFixture.accept(second).read().header("X-Txn"));
             }
         }
     }
@@ -90,41 +94,43 @@
             return thrice.getCount() == 0;
         });
         hangUp();
-        assertTrue(thrice.await(Wire.PATIENCE_MS, TimeUnit.MILLISECONDS));
+        assertTrue(thrice.await(RawConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS));
     }
 
     /** Whether a file may become better by itself decides whether it is read again. */
     @Test
     void onlyAFileThatIsNotWholeIsReadAgain() throws Exception {
-        try (Rig rig = new Rig()) {
-            rig.start(Rig.list(1, true));
-            String whole = rig.config(null).toString();
-            assertFalse(rig.sidecar().reload(file(whole.substring(0, whole.length() / 2))), "half written");
-            assertFalse(rig.sidecar().reload(file("")), "not written yet");
-            assertFalse(rig.sidecar()
+        try (SidecarFixture fixture = new SidecarFixture()) {
+            fixture.start(SidecarFixture.list(1, true));
+            String whole = fixture.config(null).toString();
+            assertFalse(fixture.sidecar().reload(file(whole.substring(0, whole.length() / 2))), "half written");
+            assertFalse(fixture.sidecar().reload(file("")), "not written yet");
+            assertFalse(fixture.sidecar()
                     .reload(Map.of("BALANCER_CONFIG", folder.resolve("missing").toString())));
-            assertTrue(rig.sidecar().reload(file("{}")), "whole and wrong");
-            assertTrue(rig.sidecar().reload(file(whole)));
+            assertTrue(fixture.sidecar().reload(file("{}")), "whole and wrong");
+            assertTrue(fixture.sidecar().reload(file(whole)));
         }
     }
 
     @Test
     void aBadFileChangesNothing() throws Exception {
-        try (Rig rig = new Rig()) {
-            ServerSocket upstream = rig.listener();
-            rig.start(Rig.list(1, true, Rig.member("u1", Rig.address(upstream), "active")));
-            Wire watch = rig.watch();
-            rig.sidecar().reload(file("{\"discovery\":"));
-            rig.sidecar()
+        try (SidecarFixture fixture = new SidecarFixture()) {
+            ServerSocket upstream = fixture.listener();
+            fixture.start(SidecarFixture.list(
+                    1, true, SidecarFixture.member("u1", SidecarFixture.address(upstream), "active")));
+            RawConnection watch = fixture.acceptWatch();
+            fixture.sidecar().reload(file("{\"discovery\":"));
+            fixture.sidecar()
                     .reload(Map.of("BALANCER_CONFIG", folder.resolve("missing").toString()));
-            try (Wire client = rig.client()) {
-                client.send(Rig.get(Rig.id(1)));
-                Wire up = Rig.accept(upstream);
+            try (RawConnection client = fixture.client()) {
+                client.send(SidecarFixture.getRequest(SidecarFixture.requestId(1)));
+                RawConnection up = SidecarFixture.accept(upstream);
                 up.read();
-                up.send(Rig.answer("200 OK", "one"));
+                up.send(SidecarFixture.answer("200 OK", "one"));
                 assertEquals("one", client.read().body());
-                watch.send(Rig.chunk(Rig.list(2, false, Rig.member("u1", Rig.address(upstream), "leaving"))));
-                assertTrue(up.ends(), "the old watch is heard as before");
+                watch.send(SidecarFixture.chunk(SidecarFixture.list(
+                        2, false, SidecarFixture.member("u1", SidecarFixture.address(upstream), "leaving"))));
+                assertTrue(up.awaitClose(), "the old watch is heard as before");
             }
         }
     }
--- a/sidecar/src/test/java/gradehub/node/ServedClassesIT.java
+++ b/sidecar/src/test/java/gradehub/node/ServedClassesIT.java
@@ -59,7 +59,7 @@
                 assertTrue(statuses.containsAll(STATUSES), statuses + " came");
                 session.reload(sidecar.pid());
                 TrainingSession.signal(sidecar.pid(), "TERM");
-                assertTrue(sidecar.waitFor(Wire.PATIENCE_MS, TimeUnit.MILLISECONDS), "it ends by SIGTERM");
+                assertTrue(sidecar.waitFor(RawConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS), "it ends by SIGTERM");
                 assertEquals(0, sidecar.exitValue(), () -> read(output));
                 return Files.readAllLines(log).stream().skip(before).toList();
             } finally {
--- a/sidecar/src/test/java/gradehub/node/ServiceFaultIT.java
+++ b/sidecar/src/test/java/gradehub/node/ServiceFaultIT.java
@@ -42,19 +42,20 @@
     private final AtomicInteger ids = new AtomicInteger();
 
     private SyscallFaults faults;
-    private Rig rig;
-    private AnsweringPeer upstream;
-    private AnsweringPeer discovery;
+    private SidecarFixture fixture;
+    private StubServer upstream;
+    private StubServer discovery;
     private SidecarProcess sidecar;
 
     @BeforeEach
     void open() throws Exception {
         faults = new SyscallFaults(folder, SEED);
-        rig = new Rig();
-        upstream = AnsweringPeer.upstream();
-        discovery = AnsweringPeer.discovery(Rig.list(1, true, Rig.member("u1", upstream.address(), "active")));
+        fixture = new SidecarFixture();
+        upstream = StubServer.upstream();
+        discovery = StubServer.discovery(
+                SidecarFixture.list(1, true, SidecarFixture.member("u1", upstream.address(), "active")));
         sidecar = SidecarProcess.start(
-                folder, rig.config(null).put("discovery", discovery.address()), faults.environment());
+                folder, fixture.config(null).put("discovery", discovery.address()), faults.environment());
         sidecar.awaitReady();
     }
 
@@ -63,18 +64,18 @@
         sidecar.close();
         discovery.close();
         upstream.close();
-        rig.close();
+        fixture.close();
     }
 
     /** The statuses that a client's requests end with; 0, the last, where one has no answer. */
     private List<Integer> ask() throws IOException {
         List<Integer> statuses = new ArrayList<>();
-        Wire wire = sidecar.client();
+        RawConnection wire = sidecar.client();
         try {
             for (int i = 0; i < REQUESTS_EACH; i++) {
-                wire.patienceMs(LONGEST_ANSWER_MS);
-                wire.send(Rig.get(Rig.id(ids.incrementAndGet()), REMAINING_MS));
-                Wire.Message answer = wire.read();
+                wire.setReadTimeoutMs(LONGEST_ANSWER_MS);
+                wire.send(SidecarFixture.getRequest(SidecarFixture.requestId(ids.incrementAndGet()), REMAINING_MS));
+                RawConnection.Message answer = wire.read();
                 statuses.add(answer.status());
                 if ("close".equals(answer.header("Connection"))) {
                     wire.close();
@@ -117,9 +118,9 @@
         faults.set(call, error, percent);
         List<Integer> statuses = askAll();
         faults.clear(call);
-        assertTrue(faults.injected(call) > 0, "calls failed");
+        assertTrue(faults.injectedCount(call) > 0, "calls failed");
         assertTrue(isServed(statuses), statuses + log());
-        assertTrue(sidecar.endsBySigterm(STOP_MS), "SIGTERM ends it");
+        assertTrue(sidecar.exitsOnSigterm(STOP_MS), "SIGTERM ends it");
     }
 
     /** A log on a full disk must not stop what is logged about. */
@@ -132,7 +133,7 @@
         List<Integer> statuses = askAll();
         faults.clear(Call.LOG);
         assertTrue(isServed(statuses), statuses + log());
-        assertTrue(sidecar.endsBySigterm(STOP_MS), "SIGTERM ends it");
+        assertTrue(sidecar.exitsOnSigterm(STOP_MS), "SIGTERM ends it");
     }
 
     /** Related to c9ba44: calls on sockets failed for a moment; requests hung, and SIGTERM did not end the process. */
@@ -163,14 +164,14 @@
         faults.set(call, error, percent);
         List<Integer> during = askAll();
         faults.clear(call);
-        assertTrue(faults.injected(call) > 0, "calls failed");
+        assertTrue(faults.injectedCount(call) > 0, "calls failed");
         assertTrue(!clientsStay || !during.contains(0), () -> "each has an answer: " + during + log());
         List<Integer> after = askAll();
         for (int round = 0; round < RECOVERY_ROUNDS && !isServed(after); round++) {
             after = askAll(); // an upstream that failed is tried again after a while
         }
         assertTrue(isServed(after), after + log());
-        assertTrue(sidecar.endsBySigterm(STOP_MS), () -> "SIGTERM does not end it" + log());
+        assertTrue(sidecar.exitsOnSigterm(STOP_MS), () -> "SIGTERM does not end it" + log());
         assertEquals(0, sidecar.process().exitValue());
     }
 
@@ -190,12 +191,16 @@
     @ParameterizedTest
     @CsvSource({"FCNTL, EINVAL, 100", "ACCEPT, EMFILE, 100", "SETSOCKOPT, ENOMEM, 100", "EPOLL_CTL, ENOMEM, 50"})
     void callsThatFailThroughoutTheStopDoNotKeepTheProcessUp(Call call, Error error, int percent) throws Exception {
-        try (Wire resting = sidecar.client()) {
-            assertEquals(200, resting.send(Rig.get(Rig.id(1))).read().status());
+        try (RawConnection resting = sidecar.client()) {
+            assertEquals(
+                    200,
+                    resting.send(SidecarFixture.getRequest(SidecarFixture.requestId(1)))
+                            .read()
+                            .status());
             faults.set(call, error, percent);
             sidecar.signal("TERM");
-            try (Wire late = sidecar.client()) {
-                late.send(Rig.get(Rig.id(2)));
+            try (RawConnection late = sidecar.client()) {
+                late.send(SidecarFixture.getRequest(SidecarFixture.requestId(2)));
                 if (percent == 100) {
                     faults.awaitInjected(call, 1, sidecar.process());
                 }
@@ -212,10 +217,10 @@
     void acceptingGoesOnSoonAfterAFailure() throws Exception {
         long pauseMs = 700;
         faults.set(Call.ACCEPT, Error.ENFILE, 100);
-        try (Wire client = sidecar.client()) {
-            client.send(Rig.get(Rig.id(1)));
+        try (RawConnection client = sidecar.client()) {
+            client.send(SidecarFixture.getRequest(SidecarFixture.requestId(1)));
             faults.awaitInjected(Call.ACCEPT, 3, sidecar.process());
-            int before = faults.injected(Call.ACCEPT);
+            int before = faults.injectedCount(Call.ACCEPT);
             faults.awaitInjected(Call.ACCEPT, before + 1, sidecar.process());
             faults.clear(Call.ACCEPT);
             long clearedNanos = System.nanoTime();
@@ -229,14 +234,18 @@
     @Test
     void whoWaitsWhileAcceptFailsIsServedBeforeTheListenerCloses() throws Exception {
         int lastTries = 15; // more than there are from the end of resting connections to the listener's close
-        try (Wire resting = sidecar.client()) {
-            assertEquals(200, resting.send(Rig.get(Rig.id(1))).read().status());
+        try (RawConnection resting = sidecar.client()) {
+            assertEquals(
+                    200,
+                    resting.send(SidecarFixture.getRequest(SidecarFixture.requestId(1)))
+                            .read()
+                            .status());
             faults.set(Call.ACCEPT, Error.ENFILE, 100);
-            try (Wire client = sidecar.client()) {
-                client.send(Rig.get(Rig.id(2), LONGEST_ANSWER_MS));
+            try (RawConnection client = sidecar.client()) {
+                client.send(SidecarFixture.getRequest(SidecarFixture.requestId(2), LONGEST_ANSWER_MS));
                 sidecar.signal("TERM");
-                assertTrue(resting.ends());
-                faults.awaitInjected(Call.ACCEPT, faults.injected(Call.ACCEPT) + lastTries, sidecar.process());
+                assertTrue(resting.awaitClose());
+                faults.awaitInjected(Call.ACCEPT, faults.injectedCount(Call.ACCEPT) + lastTries, sidecar.process());
                 faults.clear(Call.ACCEPT);
                 assertEquals(200, client.read().status());
             }
@@ -247,22 +256,32 @@
     /** Without a pause the event loop would spin, and serve nobody else the while. */
     @Test
     void acceptingThatFailsDoesNotSpin() throws Exception {
-        try (Wire served = sidecar.client()) {
-            assertEquals(200, served.send(Rig.get(Rig.id(1))).read().status());
+        try (RawConnection served = sidecar.client()) {
+            assertEquals(
+                    200,
+                    served.send(SidecarFixture.getRequest(SidecarFixture.requestId(1)))
+                            .read()
+                            .status());
             long beginNanos = System.nanoTime();
             faults.set(Call.ACCEPT, Error.ENFILE, 100);
-            try (Wire waiting = sidecar.client()) {
+            try (RawConnection waiting = sidecar.client()) {
                 faults.awaitInjected(Call.ACCEPT, 3, sidecar.process());
                 for (int i = 2; i < 2 + REQUESTS_EACH; i++) {
-                    assertEquals(200, served.send(Rig.get(Rig.id(i))).read().status());
+                    assertEquals(
+                            200,
+                            served.send(SidecarFixture.getRequest(SidecarFixture.requestId(i)))
+                                    .read()
+                                    .status());
                 }
                 long tookMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - beginNanos);
-                int failures = faults.injected(Call.ACCEPT);
+                int failures = faults.injectedCount(Call.ACCEPT);
                 assertTrue(failures <= 2 + tookMs / 5, failures + " failures in " + tookMs + " ms");
                 faults.clear(Call.ACCEPT);
                 assertEquals(
                         200,
-                        waiting.send(Rig.get(Rig.id(2 + REQUESTS_EACH))).read().status());
+                        waiting.send(SidecarFixture.getRequest(SidecarFixture.requestId(2 + REQUESTS_EACH)))
+                                .read()
+                                .status());
             }
         }
     }
@@ -270,8 +289,8 @@
     /** Related to c9ba44: a SIGHUP whose configuration could not be read for a moment was lost for good. */
     @Test
     void aReloadThatCannotReadItsFileIsTriedAgain() throws Exception {
-        try (AnsweringPeer moved =
-                AnsweringPeer.discovery(Rig.list(2, true, Rig.member("u1", upstream.address(), "active")))) {
+        try (StubServer moved = StubServer.discovery(
+                SidecarFixture.list(2, true, SidecarFixture.member("u1", upstream.address(), "active")))) {
             ObjectNode config = (ObjectNode) Config.JSON.readTree(Files.readString(sidecar.config()));
             Files.writeString(
                     sidecar.config(), config.put("discovery", moved.address()).toString());
@@ -280,7 +299,7 @@
             faults.awaitInjected(Call.OPEN_CONFIG, 1, sidecar.process());
             faults.clear(Call.OPEN_CONFIG);
             long untilNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(LONGEST_ANSWER_MS);
-            while (moved.requests() == 0) {
+            while (moved.requestCount() == 0) {
                 assertTrue(System.nanoTime() < untilNanos, "the new discovery is never called: " + sidecar.log());
                 TimeUnit.MILLISECONDS.sleep(1);
             }
--- a/sidecar/src/test/java/gradehub/node/Rig.java
+++ b/sidecar/src/test/java/gradehub/node/SidecarFixture.java
@@ -17,10 +17,10 @@
 import org.junit.jupiter.api.function.Executable;
 
 /** A sidecar on loopback with listeners for its upstreams and for discovery, which the test itself plays. */
-final class Rig implements AutoCloseable {
+final class SidecarFixture implements AutoCloseable {
 
-    static final String SAFE = "window-read";
-    static final String UNSAFE = "event-submit";
+    static final String SAFE_CLASS = "window-read";
+    static final String UNSAFE_CLASS = "event-submit";
 
     private static final String SETTINGS = """
             {"instances":1,"tickMs":5.0,"membershipMode":"push","failureDomains":["a","b"],"kinds":["k"],
@@ -38,13 +38,13 @@
     final ServerSocket discovery;
     private Sidecar sidecar;
 
-    Rig() throws IOException {
+    SidecarFixture() throws IOException {
         discovery = listener();
     }
 
     ServerSocket listener() throws IOException {
-        ServerSocket socket = new ServerSocket(0, 50, Wire.loopback());
-        socket.setSoTimeout(Wire.PATIENCE_MS);
+        ServerSocket socket = new ServerSocket(0, 50, RawConnection.loopback());
+        socket.setSoTimeout(RawConnection.TIMEOUT_MS);
         sockets.add(socket);
         return socket;
     }
@@ -54,7 +54,7 @@
     }
 
     /** An address on which nothing listens. */
-    String deadAddress() throws IOException {
+    String unusedAddress() throws IOException {
         ServerSocket socket = listener();
         socket.close();
         return address(socket);
@@ -70,7 +70,7 @@
                 + "]}";
     }
 
-    /** A configuration for this rig; {@code known} may be null. */
+    /** A configuration for this fixture; {@code known} may be null. */
     ObjectNode config(String known) throws IOException {
         ObjectNode root = Config.JSON.createObjectNode();
         root.put("name", "n0")
@@ -85,38 +85,38 @@
         return root;
     }
 
-    Rig start(String known) throws Exception {
-        sidecar = Sidecar.start(Config.of(config(known)));
+    SidecarFixture start(String known) throws Exception {
+        sidecar = Sidecar.start(Config.parse(config(known)));
         return this;
     }
 
     /** The same with this many descriptors to use. */
-    Rig start(String known, int sockets) throws Exception {
+    SidecarFixture start(String known, int sockets) throws Exception {
         ObjectNode config = config(known);
         config.withObject("/limits").put("sockets", sockets);
-        sidecar = Sidecar.start(Config.of(config));
+        sidecar = Sidecar.start(Config.parse(config));
         return this;
     }
 
     /** The same with the value of one setting replaced; both as they stand in the settings' text. */
-    Rig startWith(String known, String setting, String replaced) throws Exception {
+    SidecarFixture startWithSetting(String known, String setting, String replaced) throws Exception {
         assertTrue(SETTINGS.contains(setting), setting);
         ObjectNode config = config(known);
         config.set("settings", Config.JSON.readTree(SETTINGS.replace(setting, replaced)));
-        sidecar = Sidecar.start(Config.of(config));
+        sidecar = Sidecar.start(Config.parse(config));
         return this;
     }
 
     /** The same with another source of sockets to connect with. */
-    Rig start(String known, Supplier<LookingChannel> opened) throws Exception {
-        Config config = Config.of(config(known));
+    SidecarFixture start(String known, Supplier<LookingChannel> opened) throws Exception {
+        Config config = Config.parse(config(known));
         sidecar = Sidecar.create(config, opened);
         sidecar.listen(config);
         return this;
     }
 
     /** Does something while the event loop is held, as a shortage of processor time holds it. */
-    void whileHeld(Executable action) throws Throwable {
+    void whileEventLoopBlocked(Executable action) throws Throwable {
         CountDownLatch holds = new CountDownLatch(1);
         CountDownLatch released = new CountDownLatch(1);
         sidecar.loop().execute(() -> {
@@ -136,21 +136,21 @@
     }
 
     /** An upstream's listener that lets nobody in until it is opened: who connects meanwhile waits. */
-    static final class Gate implements AutoCloseable {
+    static final class FullBacklogListener implements AutoCloseable {
         private static final int SLOTS = 2; // a backlog of one has room for two
         private final List<Socket> fillers = new ArrayList<>();
         final ServerSocket listener;
 
-        Gate() throws IOException {
-            listener = new ServerSocket(0, SLOTS - 1, Wire.loopback());
-            listener.setSoTimeout(Wire.PATIENCE_MS);
+        FullBacklogListener() throws IOException {
+            listener = new ServerSocket(0, SLOTS - 1, RawConnection.loopback());
+            listener.setSoTimeout(RawConnection.TIMEOUT_MS);
             for (int i = 0; i < SLOTS; i++) {
-                fillers.add(new Socket(Wire.loopback(), listener.getLocalPort()));
+                fillers.add(new Socket(RawConnection.loopback(), listener.getLocalPort()));
             }
         }
 
         /** Lets in who has waited. */
-        Wire open() throws IOException {
+        RawConnection drainAndAccept() throws IOException {
             for (int i = 0; i < SLOTS; i++) {
                 listener.accept().close();
             }
@@ -167,18 +167,18 @@
     }
 
     /** Waits until so many requests are in the sidecar's hand. */
-    void awaitInHand(int requests) throws Exception {
-        await(() -> sidecar.engine().inHand() == requests);
+    void awaitRequestsInFlight(int requests) throws Exception {
+        awaitOnEventLoop(() -> sidecar.engine().inHand() == requests);
     }
 
     /** Waits until idle connections to upstreams can be used again. */
-    void awaitRested() throws Exception {
-        await(() -> sidecar.engine().upstreamsHaveRested());
+    void awaitIdleUpstreams() throws Exception {
+        awaitOnEventLoop(() -> sidecar.engine().upstreamsHaveRested());
     }
 
     /** Waits until this holds, looked at on the event loop. */
-    void await(Callable<Boolean> condition) throws Exception {
-        long untilNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(Wire.PATIENCE_MS);
+    void awaitOnEventLoop(Callable<Boolean> condition) throws Exception {
+        long untilNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(RawConnection.TIMEOUT_MS);
         while (!sidecar.loop().submit(condition).get()) {
             assertTrue(System.nanoTime() < untilNanos, "it never came to that");
             Thread.onSpinWait();
@@ -189,41 +189,41 @@
         return sidecar;
     }
 
-    Wire client() throws IOException {
-        return Wire.to((InetSocketAddress) sidecar.address());
+    RawConnection client() throws IOException {
+        return RawConnection.connect((InetSocketAddress) sidecar.address());
     }
 
     /** A request of this number goes to this upstream, and what that answers comes back. */
     void assertServed(int number, ServerSocket upstream) throws IOException {
-        try (Wire client = client()) {
-            client.send(post(id(number), "x"));
-            Wire up = accept(upstream);
-            assertEquals(id(number), up.read().header("X-Txn"));
+        try (RawConnection client = client()) {
+            client.send(postRequest(requestId(number), "x"));
+            RawConnection up = accept(upstream);
+            assertEquals(requestId(number), up.read().header("X-Txn"));
             up.send(answer("200 OK", "", "Connection: close"));
             assertEquals(200, client.read().status());
         }
     }
 
-    static Wire accept(ServerSocket socket) throws IOException {
-        return new Wire(socket.accept());
+    static RawConnection accept(ServerSocket socket) throws IOException {
+        return new RawConnection(socket.accept());
     }
 
-    static String id(int number) {
+    static String requestId(int number) {
         return String.format("%016x", number);
     }
 
-    static String get(String id) {
-        return get(id, 30_000);
+    static String getRequest(String id) {
+        return getRequest(id, 30_000);
     }
 
     /** From a client that waits for so long. */
-    static String get(String id, int remainingMs) {
-        return "GET /" + SAFE + "/x?y=1 HTTP/1.1\r\nHost: origin.svc\r\nX-Txn: " + id + "\r\nX-Lane: " + SAFE
-                + "\r\nX-Remaining-Ms: " + remainingMs + "\r\n\r\n";
+    static String getRequest(String id, int remainingMs) {
+        return "GET /" + SAFE_CLASS + "/x?y=1 HTTP/1.1\r\nHost: origin.svc\r\nX-Txn: " + id + "\r\nX-Lane: "
+                + SAFE_CLASS + "\r\nX-Remaining-Ms: " + remainingMs + "\r\n\r\n";
     }
 
-    static String post(String id, String body) {
-        return "POST /" + UNSAFE + " HTTP/1.1\r\nHost: origin.svc\r\nX-Txn: " + id + "\r\nX-Lane: " + UNSAFE
+    static String postRequest(String id, String body) {
+        return "POST /" + UNSAFE_CLASS + " HTTP/1.1\r\nHost: origin.svc\r\nX-Txn: " + id + "\r\nX-Lane: " + UNSAFE_CLASS
                 + "\r\nX-Remaining-Ms: 30000\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
@@ -233,8 +233,8 @@
     }
 
     /** Opens the watch and says so; lines go out as chunks. */
-    Wire watch() throws IOException {
-        Wire watch = accept(discovery);
+    RawConnection acceptWatch() throws IOException {
+        RawConnection watch = accept(discovery);
         watch.read();
         return watch.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
     }
@@ -243,12 +243,12 @@
         return Integer.toHexString(line.length() + 1) + "\r\n" + line + "\n\r\n";
     }
 
-    /** Waits for the sidecar's end: it would go on calling ports that the next rig may be given. */
+    /** Waits for the sidecar's end: it would go on calling ports that the next fixture may be given. */
     @Override
     public void close() throws IOException {
         if (sidecar != null) {
             sidecar.halt();
-            boolean ended = sidecar.loop().terminationFuture().awaitUninterruptibly(Wire.PATIENCE_MS);
+            boolean ended = sidecar.loop().terminationFuture().awaitUninterruptibly(RawConnection.TIMEOUT_MS);
             assertTrue(ended, "the sidecar goes on");
         }
         for (ServerSocket socket : sockets) {
--- a/sidecar/src/test/java/gradehub/node/SidecarProcess.java
+++ b/sidecar/src/test/java/gradehub/node/SidecarProcess.java
@@ -32,9 +32,9 @@
     /** Starts one whose files are in this folder; {@code root} gets the address that it is to listen on. */
     static SidecarProcess start(Path folder, ObjectNode root, Map<String, String> environment) throws IOException {
         InetSocketAddress address;
-        try (ServerSocket free = new ServerSocket(0, 1, Wire.loopback())) {
+        try (ServerSocket free = new ServerSocket(0, 1, RawConnection.loopback())) {
             address = (InetSocketAddress) free.getLocalSocketAddress();
-            root.put("listen", Rig.address(free));
+            root.put("listen", SidecarFixture.address(free));
         }
         Path config = folder.resolve("config.json");
         Path output = folder.resolve("sidecar.log");
@@ -56,13 +56,13 @@
         return Files.readString(output);
     }
 
-    Wire client() throws IOException {
-        return Wire.to(address);
+    RawConnection client() throws IOException {
+        return RawConnection.connect(address);
     }
 
     /** Whether it says that it is ready; false where it does not listen. */
     boolean isReady() {
-        try (Wire client = client()) {
+        try (RawConnection client = client()) {
             return client.send("GET /ready HTTP/1.1\r\n\r\n").read().status() == 200;
         } catch (IOException e) {
             return false;
@@ -70,7 +70,7 @@
     }
 
     void awaitReady() throws IOException, InterruptedException {
-        long untilNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(Wire.PATIENCE_MS);
+        long untilNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(RawConnection.TIMEOUT_MS);
         while (!isReady()) {
             assertTrue(process.isAlive(), "it ended: " + log());
             assertTrue(System.nanoTime() < untilNanos, "it is not ready: " + log());
@@ -83,7 +83,7 @@
     }
 
     /** Whether SIGTERM ends it within this time. */
-    boolean endsBySigterm(long withinMs) throws IOException, InterruptedException {
+    boolean exitsOnSigterm(long withinMs) throws IOException, InterruptedException {
         signal("TERM");
         return process.waitFor(withinMs, TimeUnit.MILLISECONDS);
     }
--- a/sidecar/src/test/java/gradehub/node/SidecarTest.java
+++ b/sidecar/src/test/java/gradehub/node/SidecarTest.java
@@ -6,7 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import gradehub.node.Wire.Message;
+import gradehub.node.RawConnection.Message;
 import java.io.IOException;
 import java.net.ServerSocket;
 import org.junit.jupiter.api.AfterEach;
@@ -16,37 +16,38 @@
 /** The whole sidecar over loopback sockets, with the test as client, upstream and discovery. */
 class SidecarTest {
 
-    private Rig rig;
+    private SidecarFixture fixture;
     private ServerSocket upstream;
 
     @BeforeEach
     void open() throws Exception {
-        rig = new Rig();
-        upstream = rig.listener();
+        fixture = new SidecarFixture();
+        upstream = fixture.listener();
     }
 
     @AfterEach
     void close() throws Exception {
-        rig.close();
+        fixture.close();
     }
 
-    private Wire startWithOne() throws Exception {
-        return rig.start(Rig.list(1, true, Rig.member("u1", Rig.address(upstream), "active")))
+    private RawConnection startWithOne() throws Exception {
+        return fixture.start(SidecarFixture.list(
+                        1, true, SidecarFixture.member("u1", SidecarFixture.address(upstream), "active")))
                 .client();
     }
 
     @Test
     void aRequestGoesOnUnchangedAndItsAnswerComesBack() throws Exception {
-        try (Wire client = startWithOne()) {
-            client.send(Rig.post(Rig.id(1), "payload"));
-            Wire up = Rig.accept(upstream);
+        try (RawConnection client = startWithOne()) {
+            client.send(SidecarFixture.postRequest(SidecarFixture.requestId(1), "payload"));
+            RawConnection up = SidecarFixture.accept(upstream);
             Message request = up.read();
-            assertEquals("POST /event-submit HTTP/1.1", request.first());
+            assertEquals("POST /event-submit HTTP/1.1", request.startLine());
             assertEquals("payload", request.body());
-            assertEquals(Rig.id(1), request.header("X-Txn"));
+            assertEquals(SidecarFixture.requestId(1), request.header("X-Txn"));
             long left = Long.parseLong(request.header("X-Remaining-Ms"));
             assertTrue(left > 0 && left <= 30_000, "it tells how long the sidecar waits: " + left);
-            up.send(Rig.answer("200 OK", "done", "X-Pressure: rps=1,cpu=0.5,err_rps=0"));
+            up.send(SidecarFixture.answer("200 OK", "done", "X-Pressure: rps=1,cpu=0.5,err_rps=0"));
             Message answer = client.read();
             assertEquals(200, answer.status());
             assertEquals("done", answer.body());
@@ -55,10 +56,11 @@
 
     @Test
     void headersOfOneHopDoNotGoOn() throws Exception {
-        try (Wire client = startWithOne()) {
-            client.send(Rig.get(Rig.id(1)).replace("X-Lane", "Connection: X-Private\r\nX-Private: 1\r\nX-Lane"));
-            Message request = Rig.accept(upstream).read();
-            assertEquals("GET /window-read/x?y=1 HTTP/1.1", request.first());
+        try (RawConnection client = startWithOne()) {
+            client.send(SidecarFixture.getRequest(SidecarFixture.requestId(1))
+                    .replace("X-Lane", "Connection: X-Private\r\nX-Private: 1\r\nX-Lane"));
+            Message request = SidecarFixture.accept(upstream).read();
+            assertEquals("GET /window-read/x?y=1 HTTP/1.1", request.startLine());
             assertNull(request.header("X-Private"));
             assertNull(request.header("Connection"));
         }
@@ -67,16 +69,16 @@
     /** A new connection costs an upstream tens of milliseconds of work: the second request takes the first's. */
     @Test
     void anUpstreamsConnectionIsUsedAgain() throws Exception {
-        try (Wire client = startWithOne()) {
-            client.send(Rig.get(Rig.id(1)));
-            Wire up = Rig.accept(upstream);
+        try (RawConnection client = startWithOne()) {
+            client.send(SidecarFixture.getRequest(SidecarFixture.requestId(1)));
+            RawConnection up = SidecarFixture.accept(upstream);
             up.read();
-            up.send(Rig.answer("200 OK", "one"));
+            up.send(SidecarFixture.answer("200 OK", "one"));
             assertEquals("one", client.read().body());
-            rig.awaitRested();
-            client.send(Rig.get(Rig.id(2)));
-            assertEquals(Rig.id(2), up.read().header("X-Txn"));
-            up.send(Rig.answer("200 OK", "two"));
+            fixture.awaitIdleUpstreams();
+            client.send(SidecarFixture.getRequest(SidecarFixture.requestId(2)));
+            assertEquals(SidecarFixture.requestId(2), up.read().header("X-Txn"));
+            up.send(SidecarFixture.answer("200 OK", "two"));
             assertEquals("two", client.read().body());
         }
     }
@@ -84,17 +86,18 @@
     /** Clients whose patience is short were taken for ones that come again too late, and refused at once. */
     @Test
     void anImpatientFirstTryIsServed() throws Exception {
-        try (Wire client = startWithOne()) {
-            client.send(Rig.get(Rig.id(0)));
-            Wire up = Rig.accept(upstream);
+        try (RawConnection client = startWithOne()) {
+            client.send(SidecarFixture.getRequest(SidecarFixture.requestId(0)));
+            RawConnection up = SidecarFixture.accept(upstream);
             for (int i = 1; i < 6; i++) {
-                assertEquals(Rig.id(i - 1), up.read().header("X-Txn"));
-                up.send(Rig.answer("200 OK", ""));
+                assertEquals(SidecarFixture.requestId(i - 1), up.read().header("X-Txn"));
+                up.send(SidecarFixture.answer("200 OK", ""));
                 assertEquals(200, client.read().status());
-                rig.awaitRested();
-                client.send(Rig.get(Rig.id(i)).replace("30000", "9" + i + "00"));
+                fixture.awaitIdleUpstreams();
+                client.send(
+                        SidecarFixture.getRequest(SidecarFixture.requestId(i)).replace("30000", "9" + i + "00"));
             }
-            assertEquals(Rig.id(5), up.read().header("X-Txn"));
+            assertEquals(SidecarFixture.requestId(5), up.read().header("X-Txn"));
         }
     }
 
@@ -103,20 +106,22 @@
     void whereClientsAreCrowdedAConnectionEndsWithItsFirstAnswer() throws Exception {
         String ask = "GET /ready HTTP/1.1\r\nHost: origin.svc\r\n\r\n";
         int most = 20; // requests: half of what is beyond the least
-        rig.start(Rig.list(1, true, Rig.member("u1", Rig.address(upstream), "active")), SocketBudget.LEAST + 2 * most);
-        Wire known = rig.client().send(ask + Rig.get(Rig.id(0)));
+        fixture.start(
+                SidecarFixture.list(1, true, SidecarFixture.member("u1", SidecarFixture.address(upstream), "active")),
+                SocketBudget.LEAST + 2 * most);
+        RawConnection known = fixture.client().send(ask + SidecarFixture.getRequest(SidecarFixture.requestId(0)));
         assertNull(known.read().header("Connection"), "there is room");
-        Wire up = Rig.accept(upstream);
-        assertEquals(Rig.id(0), up.read().header("X-Txn"));
+        RawConnection up = SidecarFixture.accept(upstream);
+        assertEquals(SidecarFixture.requestId(0), up.read().header("X-Txn"));
         for (int i = 1; i < most; i++) {
-            rig.client().send(Rig.get(Rig.id(i)));
+            fixture.client().send(SidecarFixture.getRequest(SidecarFixture.requestId(i)));
         }
-        try (Wire added = rig.client().send(ask)) {
+        try (RawConnection added = fixture.client().send(ask)) {
             assertEquals("close", added.read().header("Connection"));
-            assertTrue(added.ends());
+            assertTrue(added.awaitClose());
         }
-        rig.client();
-        up.send(Rig.answer("200 OK", ""));
+        fixture.client();
+        up.send(SidecarFixture.answer("200 OK", ""));
         assertNull(known.read().header("Connection"), "it has come back before");
     }
 
@@ -125,26 +130,34 @@
     void theLastConnectionsOfClientsAreLeftToWorthierRequests() throws Exception {
         int most = 6; // requests: half of what is beyond the least
         int held = 3; // beyond which what is left is kept
-        rig.start(Rig.list(1, true, Rig.member("u1", Rig.address(upstream), "active")), SocketBudget.LEAST + 2 * most);
-        Wire first = rig.client().send(Rig.post(Rig.id(0), "x") + Rig.get(Rig.id(1)));
+        fixture.start(
+                SidecarFixture.list(1, true, SidecarFixture.member("u1", SidecarFixture.address(upstream), "active")),
+                SocketBudget.LEAST + 2 * most);
+        RawConnection first = fixture.client()
+                .send(SidecarFixture.postRequest(SidecarFixture.requestId(0), "x")
+                        + SidecarFixture.getRequest(SidecarFixture.requestId(1)));
         for (int i = 0; i < 2; i++) {
-            Wire up = Rig.accept(upstream);
-            if (up.read().header("X-Txn").equals(Rig.id(0))) {
-                up.send(Rig.answer("200 OK", "", "Connection: close"));
+            RawConnection up = SidecarFixture.accept(upstream);
+            if (up.read().header("X-Txn").equals(SidecarFixture.requestId(0))) {
+                up.send(SidecarFixture.answer("200 OK", "", "Connection: close"));
             }
         }
         assertEquals(200, first.read().status());
         for (int i = 2; i <= held; i++) {
-            rig.client().send(Rig.get(Rig.id(i)));
-            assertEquals(Rig.id(i), Rig.accept(upstream).read().header("X-Txn"));
+            fixture.client().send(SidecarFixture.getRequest(SidecarFixture.requestId(i)));
+            assertEquals(
+                    SidecarFixture.requestId(i),
+                    SidecarFixture.accept(upstream).read().header("X-Txn"));
         }
-        try (Wire last = rig.client().send(Rig.get(Rig.id(held + 1)) + Rig.post(Rig.id(held + 2), "x"))) {
+        try (RawConnection last = fixture.client()
+                .send(SidecarFixture.getRequest(SidecarFixture.requestId(held + 1))
+                        + SidecarFixture.postRequest(SidecarFixture.requestId(held + 2), "x"))) {
             Message refused = last.read();
             assertEquals(503, refused.status());
             assertNotNull(refused.header("Retry-After"));
-            Wire up = Rig.accept(upstream);
-            assertEquals(Rig.id(held + 2), up.read().header("X-Txn"));
-            up.send(Rig.answer("200 OK", ""));
+            RawConnection up = SidecarFixture.accept(upstream);
+            assertEquals(SidecarFixture.requestId(held + 2), up.read().header("X-Txn"));
+            up.send(SidecarFixture.answer("200 OK", ""));
             assertEquals(200, last.read().status());
         }
     }
@@ -152,9 +165,9 @@
     /** Once its last byte is out an unsafe request may have run: a break is a failure, never a refusal or a repeat. */
     @Test
     void anUnsafeRequestThatMayHaveRunFails() throws Exception {
-        try (Wire client = startWithOne()) {
-            client.send(Rig.post(Rig.id(1), "x"));
-            Wire up = Rig.accept(upstream);
+        try (RawConnection client = startWithOne()) {
+            client.send(SidecarFixture.postRequest(SidecarFixture.requestId(1), "x"));
+            RawConnection up = SidecarFixture.accept(upstream);
             up.read();
             up.reset();
             assertEquals(502, client.read().status());
@@ -163,14 +176,14 @@
 
     @Test
     void theSameHoldsOnAConnectionThatWasUsedBefore() throws Exception {
-        try (Wire client = startWithOne()) {
-            client.send(Rig.post(Rig.id(1), "x"));
-            Wire up = Rig.accept(upstream);
+        try (RawConnection client = startWithOne()) {
+            client.send(SidecarFixture.postRequest(SidecarFixture.requestId(1), "x"));
+            RawConnection up = SidecarFixture.accept(upstream);
             up.read();
-            up.send(Rig.answer("200 OK", ""));
+            up.send(SidecarFixture.answer("200 OK", ""));
             assertEquals(200, client.read().status());
-            rig.awaitRested();
-            client.send(Rig.post(Rig.id(2), "x"));
+            fixture.awaitIdleUpstreams();
+            client.send(SidecarFixture.postRequest(SidecarFixture.requestId(2), "x"));
             up.read();
             up.close();
             assertEquals(502, client.read().status());
@@ -180,13 +193,14 @@
     /** A 503 proves nothing by itself: it may come from something behind the upstream. */
     @Test
     void a503IsARefusalOnlyWhereTheUpstreamSaysThatNothingRan() throws Exception {
-        try (Wire client = startWithOne()) {
-            client.send(Rig.post(Rig.id(1), "x"));
-            Wire up = Rig.accept(upstream);
+        try (RawConnection client = startWithOne()) {
+            client.send(SidecarFixture.postRequest(SidecarFixture.requestId(1), "x"));
+            RawConnection up = SidecarFixture.accept(upstream);
             up.read();
-            up.send(Rig.answer("503 Service Unavailable", "", "Connection: close")); // the next one is accepted anew
+            up.send(SidecarFixture.answer(
+                    "503 Service Unavailable", "", "Connection: close")); // the next one is accepted anew
             assertEquals(502, client.read().status());
-            client.send(Rig.post(Rig.id(2), "x"));
+            client.send(SidecarFixture.postRequest(SidecarFixture.requestId(2), "x"));
             turnAway();
             Message refused = client.read();
             assertEquals(503, refused.status());
@@ -199,9 +213,9 @@
         Thread thread = new Thread(() -> {
             try {
                 while (true) {
-                    Wire up = Rig.accept(upstream);
+                    RawConnection up = SidecarFixture.accept(upstream);
                     up.read();
-                    up.send(Rig.answer("504 Gateway Timeout", "", "X-Turned-Away: 1"));
+                    up.send(SidecarFixture.answer("504 Gateway Timeout", "", "X-Turned-Away: 1"));
                 }
             } catch (IOException e) {
                 // The listener has closed, and with it the test.
@@ -213,42 +227,42 @@
 
     @Test
     void whatCouldNotConnectGoesToAnotherUpstream() throws Exception {
-        rig.start(Rig.list(
+        fixture.start(SidecarFixture.list(
                 1,
                 true,
-                Rig.member("dead", rig.deadAddress(), "active"),
-                Rig.member("u1", Rig.address(upstream), "active")));
+                SidecarFixture.member("dead", fixture.unusedAddress(), "active"),
+                SidecarFixture.member("u1", SidecarFixture.address(upstream), "active")));
         // Each of several is drawn at random: whichever come to the dead one first must go on to the other.
-        Wire up = null;
+        RawConnection up = null;
         for (int i = 0; i < 6; i++) {
-            try (Wire client = rig.client()) {
-                client.send(Rig.post(Rig.id(i), "x"));
-                up = up == null ? Rig.accept(upstream) : up;
-                assertEquals(Rig.id(i), up.read().header("X-Txn"));
-                up.send(Rig.answer("200 OK", "ok"));
+            try (RawConnection client = fixture.client()) {
+                client.send(SidecarFixture.postRequest(SidecarFixture.requestId(i), "x"));
+                up = up == null ? SidecarFixture.accept(upstream) : up;
+                assertEquals(SidecarFixture.requestId(i), up.read().header("X-Txn"));
+                up.send(SidecarFixture.answer("200 OK", "ok"));
                 assertEquals(200, client.read().status());
-                rig.awaitRested();
+                fixture.awaitIdleUpstreams();
             }
         }
     }
 
     @Test
     void rubbishFromAnUpstreamIsAFailedAttempt() throws Exception {
-        try (Wire client = startWithOne()) {
-            client.send(Rig.post(Rig.id(1), "x"));
-            Wire up = Rig.accept(upstream);
+        try (RawConnection client = startWithOne()) {
+            client.send(SidecarFixture.postRequest(SidecarFixture.requestId(1), "x"));
+            RawConnection up = SidecarFixture.accept(upstream);
             up.read();
             up.send("no HTTP at all\r\n\r\n");
             assertEquals(502, client.read().status());
-            assertTrue(up.ends());
+            assertTrue(up.awaitClose());
         }
     }
 
     @Test
     void anAnswerThatIsTooLongIsAFailedAttempt() throws Exception {
-        try (Wire client = startWithOne()) {
-            client.send(Rig.post(Rig.id(1), "x"));
-            Wire up = Rig.accept(upstream);
+        try (RawConnection client = startWithOne()) {
+            client.send(SidecarFixture.postRequest(SidecarFixture.requestId(1), "x"));
+            RawConnection up = SidecarFixture.accept(upstream);
             up.read();
             up.send("HTTP/1.1 200 OK\r\nContent-Length: 65537\r\n\r\n");
             assertEquals(502, client.read().status());
@@ -258,11 +272,11 @@
     @Test
     void aBodyOf64KiBGoesBothWays() throws Exception {
         String body = "b".repeat(Upstreams.MOST_BODY_BYTES);
-        try (Wire client = startWithOne()) {
-            client.send(Rig.post(Rig.id(1), body));
-            Wire up = Rig.accept(upstream);
+        try (RawConnection client = startWithOne()) {
+            client.send(SidecarFixture.postRequest(SidecarFixture.requestId(1), body));
+            RawConnection up = SidecarFixture.accept(upstream);
             assertEquals(body, up.read().body());
-            up.send(Rig.answer("200 OK", body));
+            up.send(SidecarFixture.answer("200 OK", body));
             assertEquals(body, client.read().body());
         }
     }
@@ -270,9 +284,9 @@
     /** A whole answer that is cut short is none: what was promised by its length never came. */
     @Test
     void anAnswerCutShortIsAFailedAttempt() throws Exception {
-        try (Wire client = startWithOne()) {
-            client.send(Rig.post(Rig.id(1), "x"));
-            Wire up = Rig.accept(upstream);
+        try (RawConnection client = startWithOne()) {
+            client.send(SidecarFixture.postRequest(SidecarFixture.requestId(1), "x"));
+            RawConnection up = SidecarFixture.accept(upstream);
             up.read();
             up.send("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf").close();
             assertEquals(502, client.read().status());
@@ -282,57 +296,73 @@
     @Test
     void malformedRequestsAreAnsweredAndNeverForwarded() throws Exception {
         startWithOne().close();
-        assertStatus(404, Rig.get(Rig.id(1)).replace("window-read", "unheard-of"));
-        assertStatus(400, Rig.get(Rig.id(1)).replace("X-Remaining-Ms: 30000", "X-Remaining-Ms: soon"));
-        assertStatus(400, Rig.get(Rig.id(1)).replace("X-Txn: " + Rig.id(1) + "\r\n", ""));
-        assertStatus(405, Rig.post(Rig.id(1), "x").replace("POST", "GET"));
-        assertStatus(413, "POST /event-submit HTTP/1.1\r\nX-Txn: " + Rig.id(1) + "\r\nContent-Length: 65537\r\n\r\n");
-        try (Wire client = rig.client()) {
+        assertStatus(404, SidecarFixture.getRequest(SidecarFixture.requestId(1)).replace("window-read", "unheard-of"));
+        assertStatus(
+                400,
+                SidecarFixture.getRequest(SidecarFixture.requestId(1))
+                        .replace("X-Remaining-Ms: 30000", "X-Remaining-Ms: soon"));
+        assertStatus(
+                400,
+                SidecarFixture.getRequest(SidecarFixture.requestId(1))
+                        .replace("X-Txn: " + SidecarFixture.requestId(1) + "\r\n", ""));
+        assertStatus(
+                405,
+                SidecarFixture.postRequest(SidecarFixture.requestId(1), "x").replace("POST", "GET"));
+        assertStatus(
+                413,
+                "POST /event-submit HTTP/1.1\r\nX-Txn: " + SidecarFixture.requestId(1)
+                        + "\r\nContent-Length: 65537\r\n\r\n");
+        try (RawConnection client = fixture.client()) {
             client.send("what is this\r\n\r\n");
             assertEquals(400, client.read().status());
-            assertTrue(client.ends(), "where the next request begins is not known");
+            assertTrue(client.awaitClose(), "where the next request begins is not known");
         }
-        try (Wire client = rig.client()) {
-            client.send(Rig.get(Rig.id(7)));
-            assertEquals(Rig.id(7), Rig.accept(upstream).read().header("X-Txn"), "the first that any upstream saw");
+        try (RawConnection client = fixture.client()) {
+            client.send(SidecarFixture.getRequest(SidecarFixture.requestId(7)));
+            assertEquals(
+                    SidecarFixture.requestId(7),
+                    SidecarFixture.accept(upstream).read().header("X-Txn"),
+                    "the first that any upstream saw");
         }
     }
 
     private void assertStatus(int status, String request) throws Exception {
-        try (Wire client = rig.client()) {
+        try (RawConnection client = fixture.client()) {
             assertEquals(status, client.send(request).read().status(), request);
         }
     }
 
     @Test
     void aClientThatLeavesEndsItsAttempt() throws Exception {
-        Wire client = startWithOne();
-        client.send(Rig.get(Rig.id(1)));
-        Wire up = Rig.accept(upstream);
+        RawConnection client = startWithOne();
+        client.send(SidecarFixture.getRequest(SidecarFixture.requestId(1)));
+        RawConnection up = SidecarFixture.accept(upstream);
         up.read();
         client.close();
-        assertTrue(up.ends(), "giving up an attempt closes its connection");
+        assertTrue(up.awaitClose(), "giving up an attempt closes its connection");
     }
 
     /** A hung upstream accepts and answers nothing: the client still gets its one answer, at its deadline. */
     @Test
     void aHungUpstreamDoesNotLoseTheRequest() throws Exception {
-        try (Wire client = startWithOne()) {
-            client.send(Rig.post(Rig.id(1), "x").replace("30000", "1500"));
-            Wire up = Rig.accept(upstream);
+        try (RawConnection client = startWithOne()) {
+            client.send(
+                    SidecarFixture.postRequest(SidecarFixture.requestId(1), "x").replace("30000", "1500"));
+            RawConnection up = SidecarFixture.accept(upstream);
             up.read();
             assertEquals(502, client.read().status());
-            assertTrue(up.ends());
+            assertTrue(up.awaitClose());
         }
     }
 
     @Test
     void answersOfOneConnectionKeepTheOrderOfItsRequests() throws Exception {
-        try (Wire client = startWithOne()) {
-            client.send(Rig.get(Rig.id(1)) + Rig.get(Rig.id(2)).replace("window-read", "unheard-of"));
-            Wire up = Rig.accept(upstream);
+        try (RawConnection client = startWithOne()) {
+            client.send(SidecarFixture.getRequest(SidecarFixture.requestId(1))
+                    + SidecarFixture.getRequest(SidecarFixture.requestId(2)).replace("window-read", "unheard-of"));
+            RawConnection up = SidecarFixture.accept(upstream);
             up.read();
-            up.send(Rig.answer("200 OK", "first"));
+            up.send(SidecarFixture.answer("200 OK", "first"));
             assertEquals("first", client.read().body());
             assertEquals(404, client.read().status());
         }
@@ -341,17 +371,19 @@
     /** Past the limit on descriptors an accept fails and its request is lost: upstreams leave room for clients. */
     @Test
     void connectionsToUpstreamsLeaveRoomForClients() throws Exception {
-        rig.start(Rig.list(1, true, Rig.member("u1", Rig.address(upstream), "active")), SocketBudget.LEAST + 4);
-        try (Wire first = rig.client();
-                Wire second = rig.client()) {
-            first.send(Rig.get(Rig.id(1)));
-            Wire up = Rig.accept(upstream);
+        fixture.start(
+                SidecarFixture.list(1, true, SidecarFixture.member("u1", SidecarFixture.address(upstream), "active")),
+                SocketBudget.LEAST + 4);
+        try (RawConnection first = fixture.client();
+                RawConnection second = fixture.client()) {
+            first.send(SidecarFixture.getRequest(SidecarFixture.requestId(1)));
+            RawConnection up = SidecarFixture.accept(upstream);
             up.read();
-            first.send(Rig.get(Rig.id(3)));
-            Rig.accept(upstream).read();
-            second.send(Rig.get(Rig.id(2)));
+            first.send(SidecarFixture.getRequest(SidecarFixture.requestId(3)));
+            SidecarFixture.accept(upstream).read();
+            second.send(SidecarFixture.getRequest(SidecarFixture.requestId(2)));
             assertEquals(503, second.read().status(), "it could not connect, and is refused");
-            up.send(Rig.answer("200 OK", "one"));
+            up.send(SidecarFixture.answer("200 OK", "one"));
             assertEquals("one", first.read().body());
         }
     }
@@ -359,39 +391,39 @@
     /** What SIGTERM begins: what was taken is answered, what comes is served, and only then it ends. */
     @Test
     void aStopAnswersWhatWasTakenAndWhatStillComes() throws Exception {
-        try (Wire client = startWithOne()) {
-            client.send(Rig.get(Rig.id(1)));
-            Wire up = Rig.accept(upstream);
+        try (RawConnection client = startWithOne()) {
+            client.send(SidecarFixture.getRequest(SidecarFixture.requestId(1)));
+            RawConnection up = SidecarFixture.accept(upstream);
             up.read();
             Thread stop = new Thread(() -> {
                 try {
-                    rig.sidecar().stop();
+                    fixture.sidecar().stop();
                 } catch (InterruptedException e) {
                     Thread.currentThread().interrupt();
                 }
             });
             stop.start();
-            try (Wire late = rig.client()) {
-                late.send(Rig.get(Rig.id(2)));
-                Wire second = Rig.accept(upstream);
+            try (RawConnection late = fixture.client()) {
+                late.send(SidecarFixture.getRequest(SidecarFixture.requestId(2)));
+                RawConnection second = SidecarFixture.accept(upstream);
                 second.read();
-                second.send(Rig.answer("200 OK", "two"));
+                second.send(SidecarFixture.answer("200 OK", "two"));
                 assertEquals("two", late.read().body());
             }
             while (listening()) {
                 Thread.onSpinWait(); // it goes on accepting for a while; what counts is what it does after that
             }
             assertTrue(stop.isAlive(), "one request is still in hand");
-            up.send(Rig.answer("200 OK", "one"));
+            up.send(SidecarFixture.answer("200 OK", "one"));
             assertEquals("one", client.read().body());
-            stop.join(Wire.PATIENCE_MS);
+            stop.join(RawConnection.TIMEOUT_MS);
             assertFalse(stop.isAlive());
         }
     }
 
     private boolean listening() {
         try {
-            rig.client().close();
+            fixture.client().close();
             return true;
         } catch (IOException e) {
             return false;
--- a/sidecar/src/test/java/gradehub/node/SizeTest.java
+++ b/sidecar/src/test/java/gradehub/node/SizeTest.java
@@ -13,7 +13,7 @@
     private static String[] members(String phase, ServerSocket at) {
         List<String> members = new ArrayList<>();
         for (int i = 1; i <= UPSTREAMS; i++) {
-            members.add(Rig.member("u" + i, Rig.address(at), phase));
+            members.add(SidecarFixture.member("u" + i, SidecarFixture.address(at), phase));
         }
         return members.toArray(new String[0]);
     }
@@ -21,20 +21,20 @@
     /** They come as a whole list, change all at once, move, and come again, for a sidecar among as many others. */
     @Test
     void aThousandUpstreamsAreReadChangedAndServed() throws Exception {
-        try (Rig rig = new Rig()) {
-            ServerSocket first = rig.listener();
-            ServerSocket second = rig.listener();
-            rig.startWith(null, "\"instances\":1,", "\"instances\":" + UPSTREAMS + ",");
-            Wire watch = rig.watch();
-            watch.send(Rig.chunk(Rig.list(1, true, members("active", first))));
-            rig.await(() -> rig.sidecar().engine().listed() == UPSTREAMS);
-            rig.assertServed(1, first);
-            watch.send(Rig.chunk(Rig.list(2, false, members("leaving", first))));
-            watch.send(Rig.chunk(Rig.list(3, false, members("left", first))));
-            rig.await(() -> rig.sidecar().engine().listed() == 0);
-            watch.send(Rig.chunk(Rig.list(4, false, members("active", second))));
-            rig.await(() -> rig.sidecar().engine().listed() == UPSTREAMS);
-            rig.assertServed(2, second);
+        try (SidecarFixture fixture = new SidecarFixture()) {
+            ServerSocket first = fixture.listener();
+            ServerSocket second = fixture.listener();
+            fixture.startWithSetting(null, "\"instances\":1,", "\"instances\":" + UPSTREAMS + ",");
+            RawConnection watch = fixture.acceptWatch();
+            watch.send(SidecarFixture.chunk(SidecarFixture.list(1, true, members("active", first))));
+            fixture.awaitOnEventLoop(() -> fixture.sidecar().engine().listed() == UPSTREAMS);
+            fixture.assertServed(1, first);
+            watch.send(SidecarFixture.chunk(SidecarFixture.list(2, false, members("leaving", first))));
+            watch.send(SidecarFixture.chunk(SidecarFixture.list(3, false, members("left", first))));
+            fixture.awaitOnEventLoop(() -> fixture.sidecar().engine().listed() == 0);
+            watch.send(SidecarFixture.chunk(SidecarFixture.list(4, false, members("active", second))));
+            fixture.awaitOnEventLoop(() -> fixture.sidecar().engine().listed() == UPSTREAMS);
+            fixture.assertServed(2, second);
         }
     }
 }
--- a/sidecar/src/test/java/gradehub/node/SpoiltAnswerTest.java
+++ b/sidecar/src/test/java/gradehub/node/SpoiltAnswerTest.java
@@ -15,19 +15,20 @@
 /** Upstreams that answer what can't be used, or more than was asked for. */
 class SpoiltAnswerTest {
 
-    private Rig rig;
+    private SidecarFixture fixture;
     private ServerSocket upstream;
 
     @BeforeEach
     void open() throws Exception {
-        rig = new Rig();
-        upstream = rig.listener();
-        rig.start(Rig.list(1, true, Rig.member("u1", Rig.address(upstream), "active")));
+        fixture = new SidecarFixture();
+        upstream = fixture.listener();
+        fixture.start(
+                SidecarFixture.list(1, true, SidecarFixture.member("u1", SidecarFixture.address(upstream), "active")));
     }
 
     @AfterEach
     void close() throws Exception {
-        rig.close();
+        fixture.close();
     }
 
     /** What follows an answer would be taken for the next one: a client would get what was made for another. */
@@ -36,54 +37,55 @@
             strings = {"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\none", "HTTP/1.1 200 OK\r\nContent-", "\1\2\3 noise"
             })
     void whatFollowsAnAnswerEndsItsConnection(String behind) throws Exception {
-        try (Wire client = rig.client()) {
-            client.send(Rig.get(Rig.id(1)));
-            Wire up = Rig.accept(upstream);
+        try (RawConnection client = fixture.client()) {
+            client.send(SidecarFixture.getRequest(SidecarFixture.requestId(1)));
+            RawConnection up = SidecarFixture.accept(upstream);
             up.read();
-            up.send(Rig.answer("200 OK", "one") + behind);
+            up.send(SidecarFixture.answer("200 OK", "one") + behind);
             assertEquals("one", client.read().body(), "the answer itself is good");
-            client.send(Rig.get(Rig.id(2)));
-            Wire next = Rig.accept(upstream);
-            assertEquals(Rig.id(2), next.read().header("X-Txn"));
-            next.send(Rig.answer("200 OK", "two"));
+            client.send(SidecarFixture.getRequest(SidecarFixture.requestId(2)));
+            RawConnection next = SidecarFixture.accept(upstream);
+            assertEquals(SidecarFixture.requestId(2), next.read().header("X-Txn"));
+            next.send(SidecarFixture.answer("200 OK", "two"));
             assertEquals("two", client.read().body());
-            assertTrue(up.ends());
+            assertTrue(up.awaitClose());
         }
     }
 
     /** The same where it comes while the connection is idle. */
     @Test
     void whatComesUnaskedEndsItsConnection() throws Exception {
-        try (Wire client = rig.client()) {
-            client.send(Rig.get(Rig.id(1)));
-            Wire up = Rig.accept(upstream);
+        try (RawConnection client = fixture.client()) {
+            client.send(SidecarFixture.getRequest(SidecarFixture.requestId(1)));
+            RawConnection up = SidecarFixture.accept(upstream);
             up.read();
-            up.send(Rig.answer("200 OK", "one"));
+            up.send(SidecarFixture.answer("200 OK", "one"));
             client.read();
             up.send("HTTP/1.1 200 OK\r\nCont");
-            assertTrue(up.ends());
+            assertTrue(up.awaitClose());
         }
     }
 
     /** It is on its way while the next request is written: that one goes over another connection. */
     @Test
     void aSecondAnswerThatComesLateReachesNoOtherRequest() throws Throwable {
-        try (Wire client = rig.client()) {
-            client.send(Rig.post(Rig.id(1), "x"));
-            Wire up = Rig.accept(upstream);
+        try (RawConnection client = fixture.client()) {
+            client.send(SidecarFixture.postRequest(SidecarFixture.requestId(1), "x"));
+            RawConnection up = SidecarFixture.accept(upstream);
             up.read();
-            rig.whileHeld(() -> {
-                up.send(Rig.answer("200 OK", "one"));
-                client.send(Rig.post(Rig.id(2), "x")); // read right behind the answer
+            fixture.whileEventLoopBlocked(() -> {
+                up.send(SidecarFixture.answer("200 OK", "one"));
+                client.send(
+                        SidecarFixture.postRequest(SidecarFixture.requestId(2), "x")); // read right behind the answer
             });
             assertEquals("one", client.read().body());
-            rig.awaitInHand(1);
-            up.send(Rig.answer("200 OK", "one"));
-            Wire next = Rig.accept(upstream);
-            assertEquals(Rig.id(2), next.read().header("X-Txn"));
-            next.send(Rig.answer("200 OK", "two"));
+            fixture.awaitRequestsInFlight(1);
+            up.send(SidecarFixture.answer("200 OK", "one"));
+            RawConnection next = SidecarFixture.accept(upstream);
+            assertEquals(SidecarFixture.requestId(2), next.read().header("X-Txn"));
+            next.send(SidecarFixture.answer("200 OK", "two"));
             assertEquals("two", client.read().body());
-            assertTrue(up.ends());
+            assertTrue(up.awaitClose());
         }
     }
 
@@ -101,21 +103,21 @@
                 "HTTP/1.1 200 OK\r\nX-Pa"
             })
     void aSpoiltAnswerIsAFailedAttemptThatMayHaveRun(String answer) throws Exception {
-        try (Wire client = rig.client()) {
-            client.send(Rig.post(Rig.id(1), "x"));
-            Wire up = Rig.accept(upstream);
+        try (RawConnection client = fixture.client()) {
+            client.send(SidecarFixture.postRequest(SidecarFixture.requestId(1), "x"));
+            RawConnection up = SidecarFixture.accept(upstream);
             up.read();
             up.send(answer);
             assertEquals(502, client.read().status());
-            assertTrue(up.ends());
+            assertTrue(up.awaitClose());
         }
     }
 
     @Test
     void aHeadWithoutEndIsNotReadOn() throws Exception {
-        try (Wire client = rig.client()) {
-            client.send(Rig.post(Rig.id(1), "x"));
-            Wire up = Rig.accept(upstream);
+        try (RawConnection client = fixture.client()) {
+            client.send(SidecarFixture.postRequest(SidecarFixture.requestId(1), "x"));
+            RawConnection up = SidecarFixture.accept(upstream);
             up.read();
             up.send("HTTP/1.1 200 OK\r\n" + "X-Pad: pppppppp\r\n".repeat(1000));
             assertEquals(502, client.read().status());
@@ -124,12 +126,12 @@
 
     @Test
     void interimAnswersAheadAreSkipped() throws Exception {
-        try (Wire client = rig.client()) {
-            client.send(Rig.post(Rig.id(1), "x"));
-            Wire up = Rig.accept(upstream);
+        try (RawConnection client = fixture.client()) {
+            client.send(SidecarFixture.postRequest(SidecarFixture.requestId(1), "x"));
+            RawConnection up = SidecarFixture.accept(upstream);
             up.read();
             up.send("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n");
-            up.send(Rig.answer("200 OK", "one"));
+            up.send(SidecarFixture.answer("200 OK", "one"));
             assertEquals("one", client.read().body());
         }
     }
@@ -137,12 +139,12 @@
     /** Where the fault is the request's, another attempt would only be turned down again. */
     @Test
     void aRequestTurnedDownForItselfIsNotTriedAgain() throws Exception {
-        try (Wire client = rig.client()) {
-            client.send(Rig.get(Rig.id(1)));
-            Wire up = Rig.accept(upstream);
+        try (RawConnection client = fixture.client()) {
+            client.send(SidecarFixture.getRequest(SidecarFixture.requestId(1)));
+            RawConnection up = SidecarFixture.accept(upstream);
             up.read();
-            up.send(Rig.answer("400 Bad Request", "why"));
-            Wire.Message answer = client.read();
+            up.send(SidecarFixture.answer("400 Bad Request", "why"));
+            RawConnection.Message answer = client.read();
             assertEquals(400, answer.status());
             assertEquals("why", answer.body());
         }
@@ -151,17 +153,19 @@
     /** A request that waits for an upstream goes to the first that is listed: it is known before the module asks. */
     @Test
     void aNewUpstreamIsSentToAtOnce() throws Exception {
-        try (Rig empty = new Rig();
+        try (SidecarFixture empty = new SidecarFixture();
                 ServerSocket first = empty.listener()) {
-            empty.start(Rig.list(1, true, Rig.member("u0", Rig.address(first), "leaving")));
-            Wire watch = empty.watch();
-            try (Wire client = empty.client()) {
-                client.send(Rig.get(Rig.id(1)));
+            empty.start(SidecarFixture.list(
+                    1, true, SidecarFixture.member("u0", SidecarFixture.address(first), "leaving")));
+            RawConnection watch = empty.acceptWatch();
+            try (RawConnection client = empty.client()) {
+                client.send(SidecarFixture.getRequest(SidecarFixture.requestId(1)));
                 client.send("GET /ready HTTP/1.1\r\n\r\n".repeat(1));
-                watch.send(Rig.chunk(Rig.list(2, false, Rig.member("u1", Rig.address(first), "active"))));
-                Wire up = Rig.accept(first);
+                watch.send(SidecarFixture.chunk(SidecarFixture.list(
+                        2, false, SidecarFixture.member("u1", SidecarFixture.address(first), "active"))));
+                RawConnection up = SidecarFixture.accept(first);
                 up.read();
-                up.send(Rig.answer("200 OK", "one"));
+                up.send(SidecarFixture.answer("200 OK", "one"));
                 assertEquals("one", client.read().body());
             }
         }
--- a/sidecar/src/test/java/gradehub/node/StalledLogIT.java
+++ b/sidecar/src/test/java/gradehub/node/StalledLogIT.java
@@ -29,22 +29,23 @@
     private Path folder;
 
     private SyscallFaults faults;
-    private Rig rig;
-    private AnsweringPeer upstream;
-    private AnsweringPeer discovery;
+    private SidecarFixture fixture;
+    private StubServer upstream;
+    private StubServer discovery;
     private RandomAccessFile pipe;
     private SidecarProcess sidecar;
 
     @BeforeEach
     void open() throws Exception {
         faults = new SyscallFaults(folder, SEED);
-        rig = new Rig();
-        upstream = AnsweringPeer.upstream();
-        discovery = AnsweringPeer.discovery(Rig.list(1, true, Rig.member("u1", upstream.address(), "active")));
+        fixture = new SidecarFixture();
+        upstream = StubServer.upstream();
+        discovery = StubServer.discovery(
+                SidecarFixture.list(1, true, SidecarFixture.member("u1", upstream.address(), "active")));
         pipe = openLogPipe();
         sidecar = SidecarProcess.start(
-                folder, rig.config(null).put("discovery", discovery.address()), faults.environment());
-        long untilNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(Wire.PATIENCE_MS);
+                folder, fixture.config(null).put("discovery", discovery.address()), faults.environment());
+        long untilNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(RawConnection.TIMEOUT_MS);
         while (!sidecar.isReady()) {
             assertTrue(System.nanoTime() < untilNanos, "it is not ready");
             TimeUnit.MILLISECONDS.sleep(1);
@@ -57,7 +58,7 @@
         pipe.close();
         discovery.close();
         upstream.close();
-        rig.close();
+        fixture.close();
     }
 
     /** A named pipe in the place of the sidecar's log, open at both ends, so that neither open has to wait. */
@@ -83,11 +84,11 @@
 
     private void logFailures() throws Exception {
         faults.set(Call.ACCEPT, Error.ENFILE, 100);
-        try (Wire waiting = sidecar.client()) {
-            faults.awaitInjected(Call.ACCEPT, faults.injected(Call.ACCEPT) + 1, sidecar.process());
+        try (RawConnection waiting = sidecar.client()) {
+            faults.awaitInjected(Call.ACCEPT, faults.injectedCount(Call.ACCEPT) + 1, sidecar.process());
             faults.clear(Call.ACCEPT);
-            waiting.send(Rig.get(Rig.id(1), REMAINING_MS));
-            waiting.patienceMs(REMAINING_MS);
+            waiting.send(SidecarFixture.getRequest(SidecarFixture.requestId(1), REMAINING_MS));
+            waiting.setReadTimeoutMs(REMAINING_MS);
             assertEquals(200, waiting.read().status());
         }
     }
@@ -97,14 +98,14 @@
     void aLogThatNobodyReadsHoldsNeitherRequestsNorTheStop() throws Exception {
         stallReader();
         logFailures();
-        try (Wire client = sidecar.client()) {
-            client.patienceMs(REMAINING_MS);
+        try (RawConnection client = sidecar.client()) {
+            client.setReadTimeoutMs(REMAINING_MS);
             for (int number = 2; number < 2 + REQUESTS; number++) {
-                client.send(Rig.get(Rig.id(number), REMAINING_MS));
+                client.send(SidecarFixture.getRequest(SidecarFixture.requestId(number), REMAINING_MS));
                 assertEquals(200, client.read().status());
             }
         }
-        assertTrue(sidecar.endsBySigterm(STOP_MS), "SIGTERM ends it");
+        assertTrue(sidecar.exitsOnSigterm(STOP_MS), "SIGTERM ends it");
         assertEquals(0, sidecar.process().exitValue());
     }
 
@@ -112,7 +113,7 @@
     @Test
     void whatIsLoggedWhileItStopsComesOut() throws Exception {
         readLinesUntil("listening on");
-        assertTrue(sidecar.endsBySigterm(Wire.PATIENCE_MS), "SIGTERM ends it");
+        assertTrue(sidecar.exitsOnSigterm(RawConnection.TIMEOUT_MS), "SIGTERM ends it");
         byte[] left = new byte[PIPE_BYTES];
         pipe.write('\n'); // else a read of an empty pipe would wait
         int length = pipe.read(left);
--- a/sidecar/src/test/java/gradehub/node/StandardErrorLogTest.java
+++ b/sidecar/src/test/java/gradehub/node/StandardErrorLogTest.java
@@ -66,7 +66,7 @@
             log(log, "line " + i + ";");
         }
         out.back.countDown();
-        log.flush(Wire.PATIENCE_MS);
+        log.flush(RawConnection.TIMEOUT_MS);
         String text = out.text();
         assertTrue(text.contains("the first line"), text);
         for (int i = 0; i < LINES; i++) {
--- a/sidecar/src/test/java/gradehub/node/StartFaultIT.java
+++ b/sidecar/src/test/java/gradehub/node/StartFaultIT.java
@@ -39,17 +39,21 @@
     void aCallThatFailsForTheFirstMomentsDelaysTheStartAndDoesNotEndIt(Call call, Error error) throws Exception {
         SyscallFaults faults = new SyscallFaults(folder, SEED);
         faults.set(call, error, 100);
-        try (Rig rig = new Rig();
-                AnsweringPeer upstream = AnsweringPeer.upstream();
-                AnsweringPeer discovery =
-                        AnsweringPeer.discovery(Rig.list(1, true, Rig.member("u1", upstream.address(), "active")));
+        try (SidecarFixture fixture = new SidecarFixture();
+                StubServer upstream = StubServer.upstream();
+                StubServer discovery = StubServer.discovery(
+                        SidecarFixture.list(1, true, SidecarFixture.member("u1", upstream.address(), "active")));
                 SidecarProcess sidecar = SidecarProcess.start(
-                        folder, rig.config(null).put("discovery", discovery.address()), faults.environment())) {
+                        folder, fixture.config(null).put("discovery", discovery.address()), faults.environment())) {
             faults.awaitInjected(call, FAILURES, sidecar.process());
             faults.clear(call);
             sidecar.awaitReady();
-            try (Wire client = sidecar.client()) {
-                assertEquals(Rig.id(1), client.send(Rig.get(Rig.id(1))).read().body());
+            try (RawConnection client = sidecar.client()) {
+                assertEquals(
+                        SidecarFixture.requestId(1),
+                        client.send(SidecarFixture.getRequest(SidecarFixture.requestId(1)))
+                                .read()
+                                .body());
             }
         }
     }
@@ -57,12 +61,12 @@
     /** What no retry can mend still ends the process at once, with the error. */
     @Test
     void aWrongConfigurationEndsTheStart() throws Exception {
-        try (Rig rig = new Rig()) {
-            ObjectNode config = rig.config(null);
+        try (SidecarFixture fixture = new SidecarFixture()) {
+            ObjectNode config = fixture.config(null);
             config.remove("seed");
             try (SidecarProcess sidecar =
                     SidecarProcess.start(folder, config, new SyscallFaults(folder, SEED).environment())) {
-                assertTrue(sidecar.process().waitFor(Wire.PATIENCE_MS, TimeUnit.MILLISECONDS));
+                assertTrue(sidecar.process().waitFor(RawConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS));
                 assertEquals(2, sidecar.process().exitValue());
                 assertTrue(sidecar.log().contains("seed: missing"), sidecar.log());
             }
@@ -75,15 +79,15 @@
      */
     @Test
     void aRestartedSidecarDoesNotServeByItsOldListBeforeDiscoveryHasAnswered() throws Exception {
-        try (Rig rig = new Rig();
-                AnsweringPeer gone = AnsweringPeer.upstream();
-                AnsweringPeer present = AnsweringPeer.upstream()) {
-            ServerSocket discovery = rig.discovery;
-            String known = Rig.list(1, true, Rig.member("u1", gone.address(), "active"));
-            ObjectNode config = rig.config(known);
+        try (SidecarFixture fixture = new SidecarFixture();
+                StubServer gone = StubServer.upstream();
+                StubServer present = StubServer.upstream()) {
+            ServerSocket discovery = fixture.discovery;
+            String known = SidecarFixture.list(1, true, SidecarFixture.member("u1", gone.address(), "active"));
+            ObjectNode config = fixture.config(known);
             try (SidecarProcess sidecar =
                             SidecarProcess.start(folder, config, new SyscallFaults(folder, SEED).environment());
-                    Wire watch = Rig.accept(discovery)) {
+                    RawConnection watch = SidecarFixture.accept(discovery)) {
                 watch.read();
                 while (!sidecar.log().contains("waiting for the list")) {
                     assertFalse(sidecar.isReady(), "it serves by a list of unknown age");
@@ -91,14 +95,18 @@
                 }
                 assertFalse(sidecar.isReady());
                 watch.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-                        + Rig.chunk(Rig.list(2, true, Rig.member("u2", present.address(), "active"))));
+                        + SidecarFixture.chunk(SidecarFixture.list(
+                                2, true, SidecarFixture.member("u2", present.address(), "active"))));
                 sidecar.awaitReady();
-                try (Wire client = sidecar.client()) {
+                try (RawConnection client = sidecar.client()) {
                     assertEquals(
-                            Rig.id(1), client.send(Rig.get(Rig.id(1))).read().body());
+                            SidecarFixture.requestId(1),
+                            client.send(SidecarFixture.getRequest(SidecarFixture.requestId(1)))
+                                    .read()
+                                    .body());
                 }
-                assertEquals(0, gone.requests());
-                assertEquals(1, present.requests());
+                assertEquals(0, gone.requestCount());
+                assertEquals(1, present.requestCount());
             }
         }
     }
@@ -106,16 +114,19 @@
     /** Discovery that can't be reached must not keep a sidecar from serving by the list that it has. */
     @Test
     void withoutDiscoveryTheOldListIsServedInTime() throws Exception {
-        try (Rig rig = new Rig();
-                AnsweringPeer upstream = AnsweringPeer.upstream()) {
-            String known = Rig.list(1, true, Rig.member("u1", upstream.address(), "active"));
-            ObjectNode config = rig.config(known).put("discovery", rig.deadAddress());
+        try (SidecarFixture fixture = new SidecarFixture();
+                StubServer upstream = StubServer.upstream()) {
+            String known = SidecarFixture.list(1, true, SidecarFixture.member("u1", upstream.address(), "active"));
+            ObjectNode config = fixture.config(known).put("discovery", fixture.unusedAddress());
             try (SidecarProcess sidecar =
                     SidecarProcess.start(folder, config, new SyscallFaults(folder, SEED).environment())) {
                 sidecar.awaitReady();
-                try (Wire client = sidecar.client()) {
+                try (RawConnection client = sidecar.client()) {
                     assertEquals(
-                            Rig.id(1), client.send(Rig.get(Rig.id(1))).read().body());
+                            SidecarFixture.requestId(1),
+                            client.send(SidecarFixture.getRequest(SidecarFixture.requestId(1)))
+                                    .read()
+                                    .body());
                 }
             }
         }
--- a/sidecar/src/test/java/gradehub/node/StopTest.java
+++ b/sidecar/src/test/java/gradehub/node/StopTest.java
@@ -16,29 +16,30 @@
 
     private static final String READY = "GET /ready HTTP/1.1\r\n\r\n";
 
-    private Rig rig;
+    private SidecarFixture fixture;
     private ServerSocket upstream;
     private Thread stop;
 
     @BeforeEach
     void open() throws Exception {
-        rig = new Rig();
-        upstream = rig.listener();
+        fixture = new SidecarFixture();
+        upstream = fixture.listener();
     }
 
     @AfterEach
     void close() throws Exception {
-        rig.close();
+        fixture.close();
     }
 
     private void start(String phase) throws Exception {
-        rig.start(Rig.list(1, true, Rig.member("u1", Rig.address(upstream), phase)));
+        fixture.start(
+                SidecarFixture.list(1, true, SidecarFixture.member("u1", SidecarFixture.address(upstream), phase)));
     }
 
     private void stop() {
         stop = new Thread(() -> {
             try {
-                rig.sidecar().stop();
+                fixture.sidecar().stop();
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
@@ -47,50 +48,50 @@
     }
 
     private void ended() throws Exception {
-        stop.join(Wire.PATIENCE_MS);
+        stop.join(RawConnection.TIMEOUT_MS);
         assertFalse(stop.isAlive());
     }
 
-    private Wire ready() throws Exception {
-        Wire client = rig.client();
+    private RawConnection ready() throws Exception {
+        RawConnection client = fixture.client();
         assertEquals(200, client.send(READY).read().status());
         return client;
     }
 
     /** A connection that rests ends when the sidecar no longer takes requests on it: from then on it closes them. */
-    private void awaitClosing(Wire resting) throws Exception {
-        assertTrue(resting.ends());
+    private void awaitClosing(RawConnection resting) throws Exception {
+        assertTrue(resting.awaitClose());
     }
 
     private void serve(String id) throws Exception {
-        Wire up = Rig.accept(upstream);
+        RawConnection up = SidecarFixture.accept(upstream);
         assertEquals(id, up.read().header("X-Txn"));
-        up.send(Rig.answer("200 OK", id, "Connection: close"));
+        up.send(SidecarFixture.answer("200 OK", id, "Connection: close"));
     }
 
-    private static void assertLast(String id, Wire client) throws Exception {
-        Wire.Message answer = client.read();
+    private static void assertLast(String id, RawConnection client) throws Exception {
+        RawConnection.Message answer = client.read();
         assertEquals(id, answer.body());
         assertEquals("close", answer.header("Connection"));
-        assertTrue(client.ends());
+        assertTrue(client.awaitClose());
     }
 
     /** Whoever has sent a part of a request goes on sending: a close then would lose what was taken meanwhile. */
     @Test
     void aRequestThatIsHalfReadIsReadToItsEndAndServed() throws Exception {
         start("active");
-        String request = Rig.post(Rig.id(1), "body");
-        try (Wire client = ready();
-                Wire resting = ready()) {
+        String request = SidecarFixture.postRequest(SidecarFixture.requestId(1), "body");
+        try (RawConnection client = ready();
+                RawConnection resting = ready()) {
             client.send(request.substring(0, request.length() - 2));
-            try (Wire later = ready()) {
+            try (RawConnection later = ready()) {
                 stop();
                 awaitClosing(later);
             }
             awaitClosing(resting);
             client.send(request.substring(request.length() - 2));
-            serve(Rig.id(1));
-            assertLast(Rig.id(1), client);
+            serve(SidecarFixture.requestId(1));
+            assertLast(SidecarFixture.requestId(1), client);
         }
         ended();
     }
@@ -99,11 +100,12 @@
     @Test
     void aRequestThatStaysHalfReadIsAnsweredBeforeTheEnd() throws Exception {
         start("active");
-        try (Wire client = ready()) {
-            client.send(Rig.post(Rig.id(1), "body").substring(0, 80));
+        try (RawConnection client = ready()) {
+            client.send(SidecarFixture.postRequest(SidecarFixture.requestId(1), "body")
+                    .substring(0, 80));
             stop();
             assertEquals(408, client.read().status());
-            assertTrue(client.ends());
+            assertTrue(client.awaitClose());
         }
         ended();
     }
@@ -112,29 +114,31 @@
     @Test
     void aRequestThatCrossesTheCloseIsServed() throws Throwable {
         start("active");
-        try (Wire client = ready()) {
-            rig.whileHeld(() -> {
-                rig.sidecar().loop().execute(rig.sidecar()::endConnections);
-                client.send(Rig.post(Rig.id(1), "x")); // the event loop has the close to do before it reads this
+        try (RawConnection client = ready()) {
+            fixture.whileEventLoopBlocked(() -> {
+                fixture.sidecar().loop().execute(fixture.sidecar()::endConnections);
+                client.send(SidecarFixture.postRequest(
+                        SidecarFixture.requestId(1), "x")); // the event loop has the close to do before it reads this
             });
-            serve(Rig.id(1));
-            assertLast(Rig.id(1), client);
+            serve(SidecarFixture.requestId(1));
+            assertLast(SidecarFixture.requestId(1), client);
         }
     }
 
     @Test
     void whatWaitsInTheQueueIsServedWhenAnUpstreamComes() throws Exception {
         start("leaving");
-        try (Wire watch = rig.watch();
-                Wire client = ready();
-                Wire resting = ready()) {
-            client.send(Rig.post(Rig.id(1), "x"));
-            rig.awaitInHand(1);
+        try (RawConnection watch = fixture.acceptWatch();
+                RawConnection client = ready();
+                RawConnection resting = ready()) {
+            client.send(SidecarFixture.postRequest(SidecarFixture.requestId(1), "x"));
+            fixture.awaitRequestsInFlight(1);
             stop();
             awaitClosing(resting);
-            watch.send(Rig.chunk(Rig.list(2, false, Rig.member("u1", Rig.address(upstream), "active"))));
-            serve(Rig.id(1));
-            assertLast(Rig.id(1), client);
+            watch.send(SidecarFixture.chunk(SidecarFixture.list(
+                    2, false, SidecarFixture.member("u1", SidecarFixture.address(upstream), "active"))));
+            serve(SidecarFixture.requestId(1));
+            assertLast(SidecarFixture.requestId(1), client);
         }
         ended();
     }
@@ -142,24 +146,24 @@
     @Test
     void requestsOnNewAndOnKeptConnectionsAreServedMeanwhile() throws Exception {
         start("active");
-        try (Wire kept = ready();
-                Wire inFlight = ready()) {
-            inFlight.send(Rig.post(Rig.id(1), "x"));
-            Wire up = Rig.accept(upstream);
+        try (RawConnection kept = ready();
+                RawConnection inFlight = ready()) {
+            inFlight.send(SidecarFixture.postRequest(SidecarFixture.requestId(1), "x"));
+            RawConnection up = SidecarFixture.accept(upstream);
             up.read();
             stop();
-            kept.send(Rig.get(Rig.id(2)));
-            serve(Rig.id(2));
-            assertEquals(Rig.id(2), kept.read().body());
-            try (Wire added = rig.client()) {
-                added.send(Rig.get(Rig.id(3)));
-                serve(Rig.id(3));
-                assertEquals(Rig.id(3), added.read().body());
+            kept.send(SidecarFixture.getRequest(SidecarFixture.requestId(2)));
+            serve(SidecarFixture.requestId(2));
+            assertEquals(SidecarFixture.requestId(2), kept.read().body());
+            try (RawConnection added = fixture.client()) {
+                added.send(SidecarFixture.getRequest(SidecarFixture.requestId(3)));
+                serve(SidecarFixture.requestId(3));
+                assertEquals(SidecarFixture.requestId(3), added.read().body());
                 awaitClosing(added);
             }
             awaitClosing(kept);
-            up.send(Rig.answer("200 OK", Rig.id(1)));
-            assertLast(Rig.id(1), inFlight);
+            up.send(SidecarFixture.answer("200 OK", SidecarFixture.requestId(1)));
+            assertLast(SidecarFixture.requestId(1), inFlight);
         }
         ended();
     }
@@ -167,7 +171,8 @@
     /** SIGTERM may come as soon as the program runs: what comes through the listener after that is answered. */
     @Test
     void aStopThatComesBeforeItListensIsNoOtherThanALaterOne() throws Exception {
-        Config config = Config.of(rig.config(Rig.list(1, true, Rig.member("u1", Rig.address(upstream), "active"))));
+        Config config = Config.parse(fixture.config(
+                SidecarFixture.list(1, true, SidecarFixture.member("u1", SidecarFixture.address(upstream), "active"))));
         Sidecar sidecar = Sidecar.create(config);
         CompletableFuture<Void> stopped = CompletableFuture.runAsync(() -> {
             try {
@@ -176,7 +181,7 @@
                 Thread.currentThread().interrupt();
             }
         });
-        stopped.get(Wire.PATIENCE_MS, TimeUnit.MILLISECONDS);
+        stopped.get(RawConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS);
         assertTrue(sidecar.loop().isShuttingDown(), "it has ended without having listened");
     }
 }
--- a/sidecar/src/test/java/gradehub/node/AnsweringPeer.java
+++ b/sidecar/src/test/java/gradehub/node/StubServer.java
@@ -9,34 +9,35 @@
 import java.util.function.Function;
 
 /** An upstream or discovery on loopback that answers each request by itself, on threads of its own. */
-final class AnsweringPeer implements AutoCloseable {
+final class StubServer implements AutoCloseable {
 
     private final ServerSocket listener;
-    private final Function<Wire.Message, String> answers;
+    private final Function<RawConnection.Message, String> answers;
     private final List<Socket> open = new ArrayList<>();
     private final AtomicInteger requests = new AtomicInteger();
 
-    private AnsweringPeer(Function<Wire.Message, String> answers) throws IOException {
-        this.listener = new ServerSocket(0, 50, Wire.loopback());
+    private StubServer(Function<RawConnection.Message, String> answers) throws IOException {
+        this.listener = new ServerSocket(0, 50, RawConnection.loopback());
         this.answers = answers;
         start(this::accept);
     }
 
     /** One that answers each request with its identifier. */
-    static AnsweringPeer upstream() throws IOException {
-        return new AnsweringPeer(request -> Rig.answer("200 OK", request.header("X-Txn")));
+    static StubServer upstream() throws IOException {
+        return new StubServer(request -> SidecarFixture.answer("200 OK", request.header("X-Txn")));
     }
 
     /** One that tells each watch this list and then nothing more. */
-    static AnsweringPeer discovery(String list) throws IOException {
-        return new AnsweringPeer(request -> "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + Rig.chunk(list));
+    static StubServer discovery(String list) throws IOException {
+        return new StubServer(
+                request -> "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + SidecarFixture.chunk(list));
     }
 
     String address() {
-        return Rig.address(listener);
+        return SidecarFixture.address(listener);
     }
 
-    int requests() {
+    int requestCount() {
         return requests.get();
     }
 
@@ -61,9 +62,9 @@
     }
 
     private void serve(Socket socket) {
-        try (Wire wire = new Wire(socket)) {
+        try (RawConnection wire = new RawConnection(socket)) {
             while (true) {
-                Wire.Message request = wire.read();
+                RawConnection.Message request = wire.read();
                 requests.incrementAndGet();
                 wire.send(answers.apply(request));
             }
--- a/sidecar/src/test/java/gradehub/node/SyscallFaults.java
+++ b/sidecar/src/test/java/gradehub/node/SyscallFaults.java
@@ -111,16 +111,17 @@
     }
 
     /** How many calls have failed. */
-    int injected(Call call) {
+    int injectedCount(Call call) {
         return table.getInt(at(call) + INJECTED_AT);
     }
 
     /** Waits until so many calls have failed in a process that is still there. */
     void awaitInjected(Call call, int count, Process process) throws InterruptedException {
-        long untilNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(Wire.PATIENCE_MS);
-        while (injected(call) < count) {
-            assertTrue(process.isAlive(), () -> "the process ended after " + injected(call) + " failures of " + call);
-            assertTrue(System.nanoTime() < untilNanos, () -> injected(call) + " failures of " + call);
+        long untilNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(RawConnection.TIMEOUT_MS);
+        while (injectedCount(call) < count) {
+            assertTrue(
+                    process.isAlive(), () -> "the process ended after " + injectedCount(call) + " failures of " + call);
+            assertTrue(System.nanoTime() < untilNanos, () -> injectedCount(call) + " failures of " + call);
             TimeUnit.MILLISECONDS.sleep(1);
         }
     }
--- a/sidecar/src/test/java/gradehub/node/WatchTest.java
+++ b/sidecar/src/test/java/gradehub/node/WatchTest.java
@@ -14,51 +14,52 @@
 /** Watches on the list that come in odd forms, fall silent, break or are late. */
 class WatchTest {
 
-    private Rig rig;
+    private SidecarFixture fixture;
     private ServerSocket first;
     private ServerSocket second;
 
     @BeforeEach
     void open() throws Exception {
-        rig = new Rig();
-        first = rig.listener();
-        second = rig.listener();
-        rig.start(Rig.list(7, true, Rig.member("u1", Rig.address(first), "active")));
+        fixture = new SidecarFixture();
+        first = fixture.listener();
+        second = fixture.listener();
+        fixture.start(
+                SidecarFixture.list(7, true, SidecarFixture.member("u1", SidecarFixture.address(first), "active")));
     }
 
     @AfterEach
     void close() throws Exception {
-        rig.close();
+        fixture.close();
     }
 
     private String moved(int revision) {
-        return Rig.list(
+        return SidecarFixture.list(
                 revision,
                 false,
-                Rig.member("u1", Rig.address(first), "leaving"),
-                Rig.member("u2", Rig.address(second), "active"));
+                SidecarFixture.member("u1", SidecarFixture.address(first), "leaving"),
+                SidecarFixture.member("u2", SidecarFixture.address(second), "active"));
     }
 
     private void assertGoesTo(ServerSocket upstream, int id) throws Exception {
-        try (Wire client = rig.client()) {
-            client.send(Rig.get(Rig.id(id)));
-            Wire up = Rig.accept(upstream);
-            assertEquals(Rig.id(id), up.read().header("X-Txn"));
-            up.send(Rig.answer("200 OK", "", "Connection: close"));
+        try (RawConnection client = fixture.client()) {
+            client.send(SidecarFixture.getRequest(SidecarFixture.requestId(id)));
+            RawConnection up = SidecarFixture.accept(upstream);
+            assertEquals(SidecarFixture.requestId(id), up.read().header("X-Txn"));
+            up.send(SidecarFixture.answer("200 OK", "", "Connection: close"));
             assertEquals(200, client.read().status());
         }
     }
 
-    private void awaitFirstIdleEnds(Wire up) throws Exception {
-        assertTrue(up.ends(), "its idle connection is closed once the change is known");
+    private void awaitFirstIdleEnds(RawConnection up) throws Exception {
+        assertTrue(up.awaitClose(), "its idle connection is closed once the change is known");
     }
 
-    private Wire idleAtFirst(int id) throws Exception {
-        try (Wire client = rig.client()) {
-            client.send(Rig.get(Rig.id(id)));
-            Wire up = Rig.accept(first);
+    private RawConnection idleAtFirst(int id) throws Exception {
+        try (RawConnection client = fixture.client()) {
+            client.send(SidecarFixture.getRequest(SidecarFixture.requestId(id)));
+            RawConnection up = SidecarFixture.accept(first);
             up.read();
-            up.send(Rig.answer("200 OK", ""));
+            up.send(SidecarFixture.answer("200 OK", ""));
             client.read();
             return up;
         }
@@ -71,8 +72,8 @@
         JsonNode list = Config.JSON.readTree(moved(8));
         String text = Config.JSON.writerWithDefaultPrettyPrinter().writeValueAsString(list);
         assertTrue(text.lines().count() > 10);
-        Wire up = idleAtFirst(1);
-        try (Wire watch = rig.watch()) {
+        RawConnection up = idleAtFirst(1);
+        try (RawConnection watch = fixture.acceptWatch()) {
             for (int at = 0; at < text.length(); at += piece) {
                 String part = text.substring(at, Math.min(text.length(), at + piece));
                 watch.send(Integer.toHexString(part.length()) + "\r\n" + part + "\r\n");
@@ -86,10 +87,10 @@
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
     void aListWithNoLengthIsReadUpToTheEndOfItsConnection(boolean reset) throws Throwable {
-        Wire up = idleAtFirst(1);
-        Wire watch = Rig.accept(rig.discovery);
+        RawConnection up = idleAtFirst(1);
+        RawConnection watch = SidecarFixture.accept(fixture.discovery);
         watch.read();
-        rig.whileHeld(() -> {
+        fixture.whileEventLoopBlocked(() -> {
             watch.send("HTTP/1.1 200 OK\r\n\r\n" + moved(8));
             if (reset) {
                 watch.reset();
@@ -99,7 +100,7 @@
         });
         assertEquals(
                 "GET /v1/endpoints?watch=1&from=8 HTTP/1.1",
-                Rig.accept(rig.discovery).read().first());
+                SidecarFixture.accept(fixture.discovery).read().startLine());
         awaitFirstIdleEnds(up);
         assertGoesTo(second, 2);
     }
@@ -108,9 +109,9 @@
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
     void aListWithNoLengthThatIsCutShortIsAskedForAgain(boolean reset) throws Throwable {
-        Wire watch = Rig.accept(rig.discovery);
+        RawConnection watch = SidecarFixture.accept(fixture.discovery);
         watch.read();
-        rig.whileHeld(() -> {
+        fixture.whileEventLoopBlocked(() -> {
             watch.send("HTTP/1.1 200 OK\r\n\r\n" + moved(8).substring(0, moved(8).length() - 1));
             if (reset) {
                 watch.reset();
@@ -120,37 +121,37 @@
         });
         assertEquals(
                 "GET /v1/endpoints?watch=1&from=7 HTTP/1.1",
-                Rig.accept(rig.discovery).read().first());
-        rig.assertServed(1, first);
+                SidecarFixture.accept(fixture.discovery).read().startLine());
+        fixture.assertServed(1, first);
     }
 
     /** The empty line that comes while nothing changes shows that the rest of an object will not. */
     @ParameterizedTest
     @ValueSource(strings = {"{\"revision\":8,", "{\"revision\":8,\"complete\":false,\"members\":[", "]", "8", "{]"})
     void aTornListEndsTheWatch(String torn) throws Exception {
-        try (Wire watch = rig.watch()) {
-            watch.send(Rig.chunk(torn)).send(Rig.chunk(""));
-            assertTrue(watch.ends());
+        try (RawConnection watch = fixture.acceptWatch()) {
+            watch.send(SidecarFixture.chunk(torn)).send(SidecarFixture.chunk(""));
+            assertTrue(watch.awaitClose());
             assertEquals(
                     "GET /v1/endpoints?watch=1&from=7 HTTP/1.1",
-                    Rig.accept(rig.discovery).read().first());
+                    SidecarFixture.accept(fixture.discovery).read().startLine());
         }
     }
 
     /** No line at all, not even the empty one: what changes meanwhile is told by a watch opened anew. */
     @Test
     void aWatchThatFallsSilentIsOpenedAnew() throws Exception {
-        Wire up = idleAtFirst(1);
-        try (Wire silent = rig.watch()) {
-            silent.send(Rig.chunk(""));
+        RawConnection up = idleAtFirst(1);
+        try (RawConnection silent = fixture.acceptWatch()) {
+            silent.send(SidecarFixture.chunk(""));
             long silentNanos = System.nanoTime();
-            Wire watch = Rig.accept(rig.discovery);
+            RawConnection watch = SidecarFixture.accept(fixture.discovery);
             assertEquals(
-                    "GET /v1/endpoints?watch=1&from=7 HTTP/1.1", watch.read().first());
+                    "GET /v1/endpoints?watch=1&from=7 HTTP/1.1", watch.read().startLine());
             long afterMs = (System.nanoTime() - silentNanos) / 1_000_000;
             assertTrue(afterMs >= 2000, "an empty line comes every 2 s, it was not silent yet after " + afterMs);
             assertTrue(afterMs < 5000, "what it misses counts as told after 6 s, it was silent for " + afterMs);
-            watch.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + Rig.chunk(moved(9)));
+            watch.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + SidecarFixture.chunk(moved(9)));
             awaitFirstIdleEnds(up);
             assertGoesTo(second, 2);
         }
@@ -159,45 +160,46 @@
     /** Discovery takes the call and then hangs, as it may just before it is well again. */
     @Test
     void aCallThatIsNeverAnsweredLeavesTimeForTheNext() throws Exception {
-        Wire hung = Rig.accept(rig.discovery);
+        RawConnection hung = SidecarFixture.accept(fixture.discovery);
         long hungNanos = System.nanoTime();
         hung.read();
-        Rig.accept(rig.discovery).read();
+        SidecarFixture.accept(fixture.discovery).read();
         long afterMs = (System.nanoTime() - hungNanos) / 1_000_000;
         assertTrue(afterMs < 5000, "the list has to be in hand after 6 s, the next call came after " + afterMs);
-        assertTrue(hung.ends());
+        assertTrue(hung.awaitClose());
     }
 
     /** What was written to the old watch is read after the new one has been opened, and may be older. */
     @Test
     void lateLinesOfAnOldWatchUndoNothing() throws Throwable {
-        Wire old = rig.watch();
-        Wire up = idleAtFirst(1);
-        rig.whileHeld(() -> {
-            rig.sidecar().loop().execute(() -> rig.sidecar().watchAnew());
-            old.send(Rig.chunk(Rig.list(8, true, Rig.member("u1", Rig.address(first), "active"))));
+        RawConnection old = fixture.acceptWatch();
+        RawConnection up = idleAtFirst(1);
+        fixture.whileEventLoopBlocked(() -> {
+            fixture.sidecar().loop().execute(() -> fixture.sidecar().reopenWatch());
+            old.send(SidecarFixture.chunk(SidecarFixture.list(
+                    8, true, SidecarFixture.member("u1", SidecarFixture.address(first), "active"))));
         });
-        Wire watch = Rig.accept(rig.discovery);
-        assertEquals("GET /v1/endpoints?watch=1&from=7 HTTP/1.1", watch.read().first());
-        watch.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + Rig.chunk(moved(9)));
+        RawConnection watch = SidecarFixture.accept(fixture.discovery);
+        assertEquals("GET /v1/endpoints?watch=1&from=7 HTTP/1.1", watch.read().startLine());
+        watch.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + SidecarFixture.chunk(moved(9)));
         awaitFirstIdleEnds(up);
         assertGoesTo(second, 2);
-        assertTrue(old.ends());
+        assertTrue(old.awaitClose());
     }
 
     @Test
     void aWatchThatIsResetIsOpenedAnewWhenDiscoveryIsBack() throws Exception {
-        Wire up = idleAtFirst(1);
-        rig.watch().reset();
+        RawConnection up = idleAtFirst(1);
+        fixture.acceptWatch().reset();
         for (int down = 0; down < 3; down++) {
-            Rig.accept(rig.discovery).reset();
+            SidecarFixture.accept(fixture.discovery).reset();
         }
-        Wire busy = Rig.accept(rig.discovery);
+        RawConnection busy = SidecarFixture.accept(fixture.discovery);
         busy.read();
-        busy.send(Rig.answer("503 Service Unavailable", ""));
-        Wire watch = Rig.accept(rig.discovery);
-        assertEquals("GET /v1/endpoints?watch=1&from=7 HTTP/1.1", watch.read().first());
-        watch.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + Rig.chunk(moved(9)));
+        busy.send(SidecarFixture.answer("503 Service Unavailable", ""));
+        RawConnection watch = SidecarFixture.accept(fixture.discovery);
+        assertEquals("GET /v1/endpoints?watch=1&from=7 HTTP/1.1", watch.read().startLine());
+        watch.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + SidecarFixture.chunk(moved(9)));
         awaitFirstIdleEnds(up);
         assertGoesTo(second, 2);
     }
@@ -205,12 +207,13 @@
     /** What changed while discovery was down is told the moment that it is back: by then a watch has to be due. */
     @Test
     void howeverLongDiscoveryIsDownTheNextWatchIsDueWithinTheGrace() throws Exception {
-        rig.watch().reset();
+        fixture.acceptWatch().reset();
         for (int down = 0; down < 8; down++) {
-            Rig.accept(rig.discovery).reset();
+            SidecarFixture.accept(fixture.discovery).reset();
         }
-        Rig.accept(rig.discovery).read();
-        long pauseMs = rig.sidecar().loop().submit(rig.sidecar()::watchPauseMs).get();
+        SidecarFixture.accept(fixture.discovery).read();
+        long pauseMs =
+                fixture.sidecar().loop().submit(fixture.sidecar()::watchPauseMs).get();
         assertTrue(pauseMs > 0 && pauseMs < 500, "it waits " + pauseMs + " ms");
     }
 }
