--- a/sidecar/src/main/java/gradehub/node/Warmup.java
+++ b/sidecar/src/main/java/gradehub/node/Warmup.java
@@ -49,7 +49,7 @@
         try {
             LOG.log(System.Logger.Level.INFO, "rehearsing with an upstream of its own");
             warmUp(0, endNanos(budgetMs(ManagementFactory.getRuntimeMXBean().getUptime())));
-        } catch (IOException | RuntimeException | Config.BadConfigException e) {
+        } catch (IOException | RuntimeException | Config.InvalidConfigException e) {
             LOG.log(System.Logger.Level.WARNING, "the rehearsal failed", e);
         }
     }
@@ -69,7 +69,7 @@
      * under way at the end is not waited for.
      */
     static int warmUp(long upstreamMs, long endNanos)
-            throws IOException, InterruptedException, Config.BadConfigException {
+            throws IOException, InterruptedException, Config.InvalidConfigException {
         try (ServerSocket others = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
             Thread accepting = new Thread(() -> accept(others, upstreamMs));
             accepting.setDaemon(true);
--- a/sidecar/src/test/java/gradehub/node/WarmupTest.java
+++ b/sidecar/src/test/java/gradehub/node/WarmupTest.java
@@ -12,7 +12,7 @@
     /** On a part of a core each request takes far longer than here; that must not make it end half compiled. */
     @Test
     void aSlowStartStillRehearsesEachRequest() throws Exception {
-        assertEquals(Warmup.REQUESTS, Warmup.warmUp(1, inMs(Wire.PATIENCE_MS)));
+        assertEquals(Warmup.REQUESTS, Warmup.warmUp(1, inMs(RawConnection.TIMEOUT_MS)));
     }
 
     private static long inMs(long ms) {
@@ -23,7 +23,7 @@
     @Test
     void aRehearsalEndsInTimeWhateverIsUnderWay() throws Exception {
         long startNanos = System.nanoTime();
-        assertEquals(0, Warmup.warmUp(Wire.PATIENCE_MS, inMs(300)));
+        assertEquals(0, Warmup.warmUp(RawConnection.TIMEOUT_MS, inMs(300)));
         long tookMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNanos);
         assertTrue(tookMs < RawConnection.TIMEOUT_MS / 2, "it took " + tookMs + " ms");
     }
