--- a/sidecar/src/test/java/gradehub/node/RawConnection.java
+++ b/sidecar/src/test/java/gradehub/node/RawConnection.java
@@ -13,13 +13,13 @@
 import java.util.Locale;
 import java.util.concurrent.TimeUnit;
 
-/** One end of an HTTP/1.1 connection, byte for byte: the tests want to break off wherever they like. */
+/** One end of an HTTP/1.1 connection at byte level, so that tests can cut a message off at any point. */
 final class RawConnection implements AutoCloseable {
 
-    /** How long a test waits for what must come; it is no margin, only the end of a test that has failed. */
+    /** How long a test waits for an event that must occur. Only a failing test reaches it; it is no tolerance. */
     static final int TIMEOUT_MS = 60_000;
 
-    /** The first line, the headers in lower case and the body of one message. */
+    /** The start line, the headers as received and the body of one message. */
     record Message(String startLine, String headers, String body) {
 
         String header(String name) {
@@ -46,7 +46,7 @@
         in = new BufferedInputStream(socket.getInputStream());
     }
 
-    /** From now on this long for what must come, in place of the usual patience. */
+    /** Replaces the default read timeout. */
     void setReadTimeoutMs(int timeoutMs) throws IOException {
         socket.setSoTimeout(timeoutMs);
     }
@@ -65,45 +65,45 @@
         return this;
     }
 
-    /** The next message; an {@link EOFException} where the connection ends first. */
+    /** Reads the next message; throws an {@link EOFException} if the connection ends first. */
     Message read() throws IOException {
         ByteArrayOutputStream head = new ByteArrayOutputStream();
         while (!head.toString(StandardCharsets.UTF_8).endsWith("\r\n\r\n")) {
             int next = in.read();
             if (next < 0) {
-                throw new EOFException("the connection ended");
+                throw new EOFException("the connection ended before the end of the headers");
             }
             head.write(next);
         }
         String text = head.toString(StandardCharsets.UTF_8);
-        int firstEnds = text.indexOf("\r\n");
-        Message message = new Message(text.substring(0, firstEnds), text.substring(firstEnds + 2), "");
+        int startLineEnd = text.indexOf("\r\n");
+        Message message = new Message(text.substring(0, startLineEnd), text.substring(startLineEnd + 2), "");
         String length = message.header("Content-Length");
         byte[] body = in.readNBytes(length == null ? 0 : Integer.parseInt(length));
         return new Message(message.startLine(), message.headers(), new String(body, StandardCharsets.UTF_8));
     }
 
-    /** Waits until something has come, and leaves it unread. */
+    /** Waits until input is available, without reading it. */
     void awaitInput() throws IOException {
-        long untilNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(TIMEOUT_MS);
+        long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(TIMEOUT_MS);
         while (socket.getInputStream().available() == 0) {
-            if (System.nanoTime() > untilNanos) {
-                throw new SocketTimeoutException("nothing came");
+            if (System.nanoTime() > deadlineNanos) {
+                throw new SocketTimeoutException("no input received");
             }
             Thread.onSpinWait();
         }
     }
 
-    /** Waits until the other side has closed. */
+    /** Waits for the peer to close; returns false if it sends a byte instead. */
     boolean awaitClose() throws IOException {
         try {
             return in.read() < 0;
         } catch (java.net.SocketException e) {
-            return true; // it was reset
+            return true; // connection reset by the peer
         }
     }
 
-    /** Breaks the connection at once. */
+    /** Closes the connection with a TCP reset. */
     void reset() throws IOException {
         socket.setSoLinger(true, 0);
         socket.close();
--- a/sidecar/src/test/java/gradehub/node/SidecarFixture.java
+++ b/sidecar/src/test/java/gradehub/node/SidecarFixture.java
@@ -16,7 +16,7 @@
 import java.util.function.Supplier;
 import org.junit.jupiter.api.function.Executable;
 
-/** A sidecar on loopback with listeners for its upstreams and for discovery, which the test itself plays. */
+/** Runs a sidecar on loopback, with listeners on which the test acts as the upstreams and as discovery. */
 final class SidecarFixture implements AutoCloseable {
 
     static final String SAFE_CLASS = "window-read";
@@ -53,7 +53,7 @@
         return socket.getInetAddress().getHostAddress() + ":" + socket.getLocalPort();
     }
 
-    /** An address on which nothing listens. */
+    /** Returns an address on which nothing listens. */
     String unusedAddress() throws IOException {
         ServerSocket socket = listener();
         socket.close();
@@ -70,7 +70,7 @@
                 + "]}";
     }
 
-    /** A configuration for this fixture; {@code known} may be null. */
+    /** Returns a configuration for this fixture; {@code known} may be null. */
     ObjectNode config(String known) throws IOException {
         ObjectNode root = Config.JSON.createObjectNode();
         root.put("name", "n0")
@@ -90,7 +90,7 @@
         return this;
     }
 
-    /** The same with this many descriptors to use. */
+    /** Starts the sidecar with {@code sockets} as its descriptor limit. */
     SidecarFixture start(String known, int sockets) throws Exception {
         ObjectNode config = config(known);
         config.withObject("/limits").put("sockets", sockets);
@@ -98,36 +98,36 @@
         return this;
     }
 
-    /** The same with the value of one setting replaced; both as they stand in the settings' text. */
-    SidecarFixture startWithSetting(String known, String setting, String replaced) throws Exception {
+    /** Starts the sidecar with one setting replaced; both arguments are fragments of {@link #SETTINGS}. */
+    SidecarFixture startWithSetting(String known, String setting, String replacement) throws Exception {
         assertTrue(SETTINGS.contains(setting), setting);
         ObjectNode config = config(known);
-        config.set("settings", Config.JSON.readTree(SETTINGS.replace(setting, replaced)));
+        config.set("settings", Config.JSON.readTree(SETTINGS.replace(setting, replacement)));
         sidecar = Sidecar.start(Config.parse(config));
         return this;
     }
 
-    /** The same with another source of sockets to connect with. */
-    SidecarFixture start(String known, Supplier<LookingChannel> opened) throws Exception {
+    /** Starts the sidecar with a custom factory for the channels of outgoing connections. */
+    SidecarFixture start(String known, Supplier<LookingChannel> channelFactory) throws Exception {
         Config config = Config.parse(config(known));
-        sidecar = Sidecar.create(config, opened);
+        sidecar = Sidecar.create(config, channelFactory);
         sidecar.listen(config);
         return this;
     }
 
-    /** Does something while the event loop is held, as a shortage of processor time holds it. */
+    /** Runs an action while the event loop is blocked, as it is when the process gets no CPU time. */
     void whileEventLoopBlocked(Executable action) throws Throwable {
-        CountDownLatch holds = new CountDownLatch(1);
+        CountDownLatch blocked = new CountDownLatch(1);
         CountDownLatch released = new CountDownLatch(1);
         sidecar.loop().execute(() -> {
-            holds.countDown();
+            blocked.countDown();
             try {
                 released.await();
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
         });
-        holds.await();
+        blocked.await();
         try {
             action.execute();
         } finally {
@@ -135,23 +135,23 @@
         }
     }
 
-    /** An upstream's listener that lets nobody in until it is opened: who connects meanwhile waits. */
+    /** An upstream listener with a full backlog: connection attempts stay pending until the backlog is drained. */
     static final class FullBacklogListener implements AutoCloseable {
-        private static final int SLOTS = 2; // a backlog of one has room for two
+        private static final int BACKLOG_CONNECTIONS = 2; // Linux queues one connection more than a backlog of 1
         private final List<Socket> fillers = new ArrayList<>();
         final ServerSocket listener;
 
         FullBacklogListener() throws IOException {
-            listener = new ServerSocket(0, SLOTS - 1, RawConnection.loopback());
+            listener = new ServerSocket(0, BACKLOG_CONNECTIONS - 1, RawConnection.loopback());
             listener.setSoTimeout(RawConnection.TIMEOUT_MS);
-            for (int i = 0; i < SLOTS; i++) {
+            for (int i = 0; i < BACKLOG_CONNECTIONS; i++) {
                 fillers.add(new Socket(RawConnection.loopback(), listener.getLocalPort()));
             }
         }
 
-        /** Lets in who has waited. */
+        /** Drains the backlog and accepts the connection that was pending. */
         RawConnection drainAndAccept() throws IOException {
-            for (int i = 0; i < SLOTS; i++) {
+            for (int i = 0; i < BACKLOG_CONNECTIONS; i++) {
                 listener.accept().close();
             }
             return accept(listener);
@@ -166,21 +166,21 @@
         }
     }
 
-    /** Waits until so many requests are in the sidecar's hand. */
+    /** Waits until the sidecar has exactly this many requests in flight. */
     void awaitRequestsInFlight(int requests) throws Exception {
         awaitOnEventLoop(() -> sidecar.engine().inHand() == requests);
     }
 
-    /** Waits until idle connections to upstreams can be used again. */
+    /** Waits until idle upstream connections may be reused. */
     void awaitIdleUpstreams() throws Exception {
         awaitOnEventLoop(() -> sidecar.engine().upstreamsHaveRested());
     }
 
-    /** Waits until this holds, looked at on the event loop. */
+    /** Waits until the condition, evaluated on the event loop, is true. */
     void awaitOnEventLoop(Callable<Boolean> condition) throws Exception {
-        long untilNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(RawConnection.TIMEOUT_MS);
+        long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(RawConnection.TIMEOUT_MS);
         while (!sidecar.loop().submit(condition).get()) {
-            assertTrue(System.nanoTime() < untilNanos, "it never came to that");
+            assertTrue(System.nanoTime() < deadlineNanos, "timed out waiting for the condition");
             Thread.onSpinWait();
         }
     }
@@ -193,13 +193,13 @@
         return RawConnection.connect((InetSocketAddress) sidecar.address());
     }
 
-    /** A request of this number goes to this upstream, and what that answers comes back. */
+    /** Asserts that a request with this number reaches this upstream and that its answer reaches the client. */
     void assertServed(int number, ServerSocket upstream) throws IOException {
         try (RawConnection client = client()) {
             client.send(postRequest(requestId(number), "x"));
-            RawConnection up = accept(upstream);
-            assertEquals(requestId(number), up.read().header("X-Txn"));
-            up.send(answer("200 OK", "", "Connection: close"));
+            RawConnection connection = accept(upstream);
+            assertEquals(requestId(number), connection.read().header("X-Txn"));
+            connection.send(answer("200 OK", "", "Connection: close"));
             assertEquals(200, client.read().status());
         }
     }
@@ -216,7 +216,7 @@
         return getRequest(id, 30_000);
     }
 
-    /** From a client that waits for so long. */
+    /** A GET request whose client waits for {@code remainingMs}. */
     static String getRequest(String id, int remainingMs) {
         return "GET /" + SAFE_CLASS + "/x?y=1 HTTP/1.1\r\nHost: origin.svc\r\nX-Txn: " + id + "\r\nX-Lane: "
                 + SAFE_CLASS + "\r\nX-Remaining-Ms: " + remainingMs + "\r\n\r\n";
@@ -232,7 +232,7 @@
                 + (headers.length == 0 ? "" : String.join("\r\n", headers) + "\r\n") + "\r\n" + body;
     }
 
-    /** Opens the watch and says so; lines go out as chunks. */
+    /** Accepts the watch and sends the answer headers; the lines of the list follow as chunks. */
     RawConnection acceptWatch() throws IOException {
         RawConnection watch = accept(discovery);
         watch.read();
@@ -243,13 +243,13 @@
         return Integer.toHexString(line.length() + 1) + "\r\n" + line + "\n\r\n";
     }
 
-    /** Waits for the sidecar's end: it would go on calling ports that the next fixture may be given. */
+    /** Waits until the event loop has terminated: it could otherwise connect to ports that the next fixture gets. */
     @Override
     public void close() throws IOException {
         if (sidecar != null) {
             sidecar.halt();
-            boolean ended = sidecar.loop().terminationFuture().awaitUninterruptibly(RawConnection.TIMEOUT_MS);
-            assertTrue(ended, "the sidecar goes on");
+            boolean terminated = sidecar.loop().terminationFuture().awaitUninterruptibly(RawConnection.TIMEOUT_MS);
+            assertTrue(terminated, "the event loop did not terminate");
         }
         for (ServerSocket socket : sockets) {
             socket.close();
--- a/sidecar/src/test/java/gradehub/node/SidecarFixtureTest.java
+++ b/sidecar/src/test/java/gradehub/node/SidecarFixtureTest.java
@@ -5,12 +5,12 @@
 import java.net.ServerSocket;
 import org.junit.jupiter.api.Test;
 
-/** The fixture itself: what one leaves behind would come in the way of the next. */
+/** Tests that a fixture leaves nothing behind that could disturb the next test. */
 class SidecarFixtureTest {
 
-    /** Its watch breaks as the fixture closes: it would be opened anew on a port that may be another's by then. */
+    /** Closing the fixture breaks the watch; a running sidecar would reopen it, on a port that may have a new owner. */
     @Test
-    void aRigThatIsClosedLeavesNoSidecarBehind() throws Exception {
+    void closingTheFixtureTerminatesTheSidecar() throws Exception {
         Sidecar sidecar;
         try (SidecarFixture fixture = new SidecarFixture();
                 ServerSocket upstream = fixture.listener()) {
--- a/sidecar/src/test/java/gradehub/node/SidecarProcess.java
+++ b/sidecar/src/test/java/gradehub/node/SidecarProcess.java
@@ -12,10 +12,10 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 
-/** The packaged sidecar as a process of its own, under this configuration and, where there are any, faults. */
+/** The packaged sidecar as a separate process, with a configuration and optionally injected faults. */
 final class SidecarProcess implements AutoCloseable {
 
-    private static final long LOOK_MS = 5;
+    private static final long POLL_MS = 5;
 
     private final Path config;
     private final Path output;
@@ -29,7 +29,7 @@
         this.process = process;
     }
 
-    /** Starts one whose files are in this folder; {@code root} gets the address that it is to listen on. */
+    /** Starts a sidecar with its files in this folder; sets the listen address in {@code root} to a free port. */
     static SidecarProcess start(Path folder, ObjectNode root, Map<String, String> environment) throws IOException {
         InetSocketAddress address;
         try (ServerSocket free = new ServerSocket(0, 1, RawConnection.loopback())) {
@@ -39,9 +39,9 @@
         Path config = folder.resolve("config.json");
         Path output = folder.resolve("sidecar.log");
         Files.writeString(config, root.toString());
-        Map<String, String> all = new HashMap<>(environment);
-        all.put("BALANCER_CONFIG", config.toAbsolutePath().toString());
-        return new SidecarProcess(config, output, address, PackagedSidecar.start(all, output));
+        Map<String, String> variables = new HashMap<>(environment);
+        variables.put("BALANCER_CONFIG", config.toAbsolutePath().toString());
+        return new SidecarProcess(config, output, address, PackagedSidecar.start(variables, output));
     }
 
     Process process() {
@@ -60,7 +60,7 @@
         return RawConnection.connect(address);
     }
 
-    /** Whether it says that it is ready; false where it does not listen. */
+    /** Whether {@code /ready} answers 200; false if the sidecar does not listen. */
     boolean isReady() {
         try (RawConnection client = client()) {
             return client.send("GET /ready HTTP/1.1\r\n\r\n").read().status() == 200;
@@ -70,11 +70,11 @@
     }
 
     void awaitReady() throws IOException, InterruptedException {
-        long untilNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(RawConnection.TIMEOUT_MS);
+        long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(RawConnection.TIMEOUT_MS);
         while (!isReady()) {
-            assertTrue(process.isAlive(), "it ended: " + log());
-            assertTrue(System.nanoTime() < untilNanos, "it is not ready: " + log());
-            TimeUnit.MILLISECONDS.sleep(LOOK_MS);
+            assertTrue(process.isAlive(), "the process ended: " + log());
+            assertTrue(System.nanoTime() < deadlineNanos, "the sidecar did not become ready: " + log());
+            TimeUnit.MILLISECONDS.sleep(POLL_MS);
         }
     }
 
@@ -82,7 +82,7 @@
         TrainingSession.signal(process.pid(), name);
     }
 
-    /** Whether SIGTERM ends it within this time. */
+    /** Sends SIGTERM; returns whether the process exits within this time. */
     boolean exitsOnSigterm(long withinMs) throws IOException, InterruptedException {
         signal("TERM");
         return process.waitFor(withinMs, TimeUnit.MILLISECONDS);
--- a/sidecar/src/test/java/gradehub/node/StubServer.java
+++ b/sidecar/src/test/java/gradehub/node/StubServer.java
@@ -8,26 +8,26 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.function.Function;
 
-/** An upstream or discovery on loopback that answers each request by itself, on threads of its own. */
+/** An upstream or discovery on loopback that answers each request automatically, on its own threads. */
 final class StubServer implements AutoCloseable {
 
     private final ServerSocket listener;
-    private final Function<RawConnection.Message, String> answers;
-    private final List<Socket> open = new ArrayList<>();
+    private final Function<RawConnection.Message, String> responder;
+    private final List<Socket> connections = new ArrayList<>();
     private final AtomicInteger requests = new AtomicInteger();
 
-    private StubServer(Function<RawConnection.Message, String> answers) throws IOException {
+    private StubServer(Function<RawConnection.Message, String> responder) throws IOException {
         this.listener = new ServerSocket(0, 50, RawConnection.loopback());
-        this.answers = answers;
-        start(this::accept);
+        this.responder = responder;
+        startThread(this::accept);
     }
 
-    /** One that answers each request with its identifier. */
+    /** Creates a server that answers each request with its identifier. */
     static StubServer upstream() throws IOException {
         return new StubServer(request -> SidecarFixture.answer("200 OK", request.header("X-Txn")));
     }
 
-    /** One that tells each watch this list and then nothing more. */
+    /** Creates a server that sends this list to each watch, and no changes after it. */
     static StubServer discovery(String list) throws IOException {
         return new StubServer(
                 request -> "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + SidecarFixture.chunk(list));
@@ -41,7 +41,7 @@
         return requests.get();
     }
 
-    private static void start(Runnable action) {
+    private static void startThread(Runnable action) {
         Thread thread = new Thread(action);
         thread.setDaemon(true);
         thread.start();
@@ -51,22 +51,22 @@
         try {
             while (true) {
                 Socket socket = listener.accept();
-                synchronized (open) {
-                    open.add(socket);
+                synchronized (connections) {
+                    connections.add(socket);
                 }
-                start(() -> serve(socket));
+                startThread(() -> serve(socket));
             }
         } catch (IOException e) {
-            // It has been closed.
+            // The listener was closed.
         }
     }
 
     private void serve(Socket socket) {
-        try (RawConnection wire = new RawConnection(socket)) {
+        try (RawConnection connection = new RawConnection(socket)) {
             while (true) {
-                RawConnection.Message request = wire.read();
+                RawConnection.Message request = connection.read();
                 requests.incrementAndGet();
-                wire.send(answers.apply(request));
+                connection.send(responder.apply(request));
             }
         } catch (IOException e) {
             // The sidecar has closed the connection.
@@ -76,8 +76,8 @@
     @Override
     public void close() throws IOException {
         listener.close();
-        synchronized (open) {
-            for (Socket socket : open) {
+        synchronized (connections) {
+            for (Socket socket : connections) {
                 socket.close();
             }
         }
--- a/sidecar/src/test/java/gradehub/node/SyscallFaults.java
+++ b/sidecar/src/test/java/gradehub/node/SyscallFaults.java
@@ -13,10 +13,10 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 
-/** The test's side of {@code syscall_faults.c}: which system calls of a process fail, how often and with what error. */
+/** Controls {@code syscall_faults.c}: which system calls of a process fail, at what rate and with which error. */
 final class SyscallFaults {
 
-    /** In the order of the library's table; {@code READ} and {@code WRITE} are those on sockets. */
+    /** In the order of the library's table; {@code READ} and {@code WRITE} cover sockets only. */
     enum Call {
         ACCEPT,
         SOCKET,
@@ -34,7 +34,7 @@
         LOG
     }
 
-    /** The numbers that Linux gives to errors. */
+    /** The errno values of Linux. */
     enum Error {
         SHORT_TRANSFER(-1),
         EINTR(4),
@@ -52,25 +52,25 @@
         ETIMEDOUT(110),
         EHOSTUNREACH(113);
 
-        private final int number;
+        private final int errno;
 
-        Error(int number) {
-            this.number = number;
+        Error(int errno) {
+            this.errno = errno;
         }
     }
 
     private static final Path SOURCE = Path.of("src/test/c/syscall_faults.c");
     private static final int SEED_BYTES = Long.BYTES;
     private static final int RULE_BYTES = 4 * Integer.BYTES;
-    private static final int ERROR_AT = 0;
-    private static final int PERCENT_AT = Integer.BYTES;
-    private static final int INJECTED_AT = 2 * Integer.BYTES;
+    private static final int ERROR_OFFSET = 0;
+    private static final int PERCENT_OFFSET = Integer.BYTES;
+    private static final int INJECTED_OFFSET = 2 * Integer.BYTES;
 
     private final Path library;
     private final Path file;
     private final MappedByteBuffer table;
 
-    /** A table under which nothing fails yet; its files are in this folder. */
+    /** Creates a table without faults, with its files in this folder. */
     SyscallFaults(Path folder, long seed) throws IOException, InterruptedException {
         library = compile(folder);
         file = folder.resolve("syscall-faults.table");
@@ -88,45 +88,45 @@
                         "cc", "-shared", "-fPIC", "-O2", "-Wall", "-o", library.toString(), SOURCE.toString(), "-ldl")
                 .inheritIO()
                 .start();
-        assertEquals(0, compiler.waitFor(), "the library compiles");
+        assertEquals(0, compiler.waitFor(), "the compiler failed on " + SOURCE);
         return library;
     }
 
-    /** What a process needs in its environment to be under this table. */
+    /** The environment variables that apply this table to a process. */
     Map<String, String> environment() {
         return Map.of(
                 "LD_PRELOAD", library.toString(),
                 "SYSCALL_FAULTS", file.toAbsolutePath().toString());
     }
 
-    /** From now on so many of a hundred calls fail like this. */
+    /** Makes this percentage of the calls fail with this error from now on. */
     void set(Call call, Error error, int percent) {
-        table.putInt(at(call) + ERROR_AT, error.number);
-        table.putInt(at(call) + PERCENT_AT, percent);
+        table.putInt(ruleOffset(call) + ERROR_OFFSET, error.errno);
+        table.putInt(ruleOffset(call) + PERCENT_OFFSET, percent);
     }
 
-    /** From now on this call does not fail. */
+    /** Stops injecting faults into this call. */
     void clear(Call call) {
-        table.putInt(at(call) + PERCENT_AT, 0);
+        table.putInt(ruleOffset(call) + PERCENT_OFFSET, 0);
     }
 
-    /** How many calls have failed. */
+    /** Returns how many faults have been injected into this call. */
     int injectedCount(Call call) {
-        return table.getInt(at(call) + INJECTED_AT);
+        return table.getInt(ruleOffset(call) + INJECTED_OFFSET);
     }
 
-    /** Waits until so many calls have failed in a process that is still there. */
+    /** Waits until this many faults have been injected, while the process is alive. */
     void awaitInjected(Call call, int count, Process process) throws InterruptedException {
-        long untilNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(RawConnection.TIMEOUT_MS);
+        long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(RawConnection.TIMEOUT_MS);
         while (injectedCount(call) < count) {
             assertTrue(
                     process.isAlive(), () -> "the process ended after " + injectedCount(call) + " failures of " + call);
-            assertTrue(System.nanoTime() < untilNanos, () -> injectedCount(call) + " failures of " + call);
+            assertTrue(System.nanoTime() < deadlineNanos, () -> injectedCount(call) + " failures of " + call);
             TimeUnit.MILLISECONDS.sleep(1);
         }
     }
 
-    private static int at(Call call) {
+    private static int ruleOffset(Call call) {
         return SEED_BYTES + call.ordinal() * RULE_BYTES;
     }
 }
