--- a/sidecar/src/main/java/gradehub/Main.java
+++ b/sidecar/src/main/java/gradehub/Main.java
@@ -12,23 +12,24 @@
 import java.util.Arrays;
 
 /**
- * {@code serve} runs the sidecar on sockets, {@code benchlink} plays the simulator's wire on standard streams, and
- * {@code archive} and {@code check-archive} are parts of the build: see {@link ArchiveRun} and {@link ArchiveCheck}.
+ * Entry point. {@code serve} runs the sidecar on the network and {@code benchlink} speaks the simulator's protocol on
+ * the standard streams; the build runs {@code archive} ({@link ArchiveRun}) and {@code check-archive}
+ * ({@link ArchiveCheck}).
  */
 public final class Main {
 
-    /** Netty's switch for the flight recorder events of its allocator. */
+    /** Netty's property that enables the flight recorder events of its allocator. */
     private static final String NETTY_RECORDER_EVENTS = "io.netty.jfr.enabled";
 
     private static final String LOG_MANAGER = "java.util.logging.manager";
 
     private Main() {}
 
-    /** Runs the command that the first argument names; ends with status 2 for any other arguments. */
+    /** Runs the command named by the first argument; exits with status 2 if the arguments are invalid. */
     public static void main(String[] args) throws Exception {
-        // Before Netty is loaded: it would set them up on the event loop, at the first chunk that it lets go.
+        // Set before Netty loads: it would initialize the events on the event loop when it first frees a chunk.
         System.setProperty(NETTY_RECORDER_EVENTS, "false");
-        // Before the first logger is made, which loads the log manager.
+        // Set before the first logger is created, which loads the log manager.
         System.setProperty(LOG_MANAGER, "gradehub.node.NonResettingLogManager");
         if (args.length == 1 && args[0].equals("serve")) {
             Sidecar.main(System.getenv());
--- a/sidecar/src/main/java/gradehub/node/Config.java
+++ b/sidecar/src/main/java/gradehub/node/Config.java
@@ -13,7 +13,7 @@
 import java.util.Iterator;
 import java.util.Map;
 
-/** What the platform tells a sidecar at its start. Keys that are not known here are left alone. */
+/** The configuration that the platform gives a sidecar at startup. Unknown keys are ignored. */
 record Config(
         InetSocketAddress listen,
         InetSocketAddress discovery,
@@ -29,19 +29,19 @@
 
     static final ObjectMapper JSON = new ObjectMapper();
 
-    private static final String FILE = "BALANCER_CONFIG";
+    private static final String FILE_VARIABLE = "BALANCER_CONFIG";
 
-    /** What is wrong with a configuration. */
+    /** Why a configuration was rejected. */
     enum Fault {
-        /** The file can't be read now. */
+        /** The file cannot be read at present. */
         UNREADABLE,
-        /** The file ends early or is no JSON: it may be half written. */
+        /** The file is truncated or not JSON; it may be partly written. */
         MALFORMED_JSON,
-        /** The file is whole, and the sidecar can't run with what it says. */
+        /** The file is complete, but the sidecar cannot run with its contents. */
         INVALID
     }
 
-    /** A configuration that the sidecar can't run with; the message names the key. */
+    /** Thrown for a configuration that the sidecar cannot use; the message starts with the key. */
     static final class InvalidConfigException extends Exception {
 
         private static final long serialVersionUID = 1L;
@@ -63,30 +63,32 @@
     }
 
     static Config load(Map<String, String> environment) throws InvalidConfigException {
-        String file = environment.get(FILE);
+        String file = environment.get(FILE_VARIABLE);
         if (file == null || file.isEmpty()) {
-            throw new InvalidConfigException(FILE + " is not set");
+            throw new InvalidConfigException(FILE_VARIABLE + " is not set");
         }
         try {
             JsonNode root = JSON.readTree(Files.readAllBytes(Path.of(file)));
             if (root.isMissingNode()) {
-                throw new InvalidConfigException(Fault.MALFORMED_JSON, FILE + ": " + file + " is empty");
+                throw new InvalidConfigException(Fault.MALFORMED_JSON, FILE_VARIABLE + ": " + file + " is empty");
             }
             return parse(root);
         } catch (JsonProcessingException e) {
             throw new InvalidConfigException(
-                    Fault.MALFORMED_JSON, FILE + ": " + file + " is no JSON: " + e.getOriginalMessage());
+                    Fault.MALFORMED_JSON,
+                    FILE_VARIABLE + ": " + file + " is not valid JSON: " + e.getOriginalMessage());
         } catch (IOException e) {
-            throw new InvalidConfigException(Fault.UNREADABLE, FILE + ": can't read " + file + ": " + e.getMessage());
+            throw new InvalidConfigException(
+                    Fault.UNREADABLE, FILE_VARIABLE + ": cannot read " + file + ": " + e.getMessage());
         }
     }
 
-    /** The same for a start: a file that is there and can't be read is an {@link IOException}, which may pass. */
+    /** Like {@link #load}, but throws a retryable {@link IOException} for a file that exists and cannot be read. */
     static Config loadForStart(Map<String, String> environment) throws InvalidConfigException, IOException {
         try {
             return load(environment);
         } catch (InvalidConfigException e) {
-            if (e.fault() == Fault.UNREADABLE && Files.exists(Path.of(environment.get(FILE)))) {
+            if (e.fault() == Fault.UNREADABLE && Files.exists(Path.of(environment.get(FILE_VARIABLE)))) {
                 throw new IOException(e.getMessage(), e);
             }
             throw e;
@@ -95,7 +97,7 @@
 
     static Config parse(JsonNode root) throws InvalidConfigException {
         if (!root.path("settings").isObject()) {
-            throw new InvalidConfigException("settings: missing, or no object");
+            throw new InvalidConfigException("settings: missing or not an object");
         }
         Map<String, String> values = new HashMap<>();
         flatten("", root.get("settings"), values);
@@ -118,15 +120,15 @@
         }
     }
 
-    /** As the simulator writes settings: words of a list joined by commas, objects of a list by their number. */
+    /** Flattens to the keys of the simulator: strings in an array are comma-separated, objects are keyed by index. */
     private static void flatten(String path, JsonNode node, Map<String, String> values) {
-        String below = path.isEmpty() ? "" : path + ".";
+        String prefix = path.isEmpty() ? "" : path + ".";
         if (node.isObject()) {
-            node.properties().forEach(entry -> flatten(below + entry.getKey(), entry.getValue(), values));
+            node.properties().forEach(entry -> flatten(prefix + entry.getKey(), entry.getValue(), values));
         } else if (node.isArray() && node.path(0).isContainerNode()) {
-            values.put(below + "count", String.valueOf(node.size()));
+            values.put(prefix + "count", String.valueOf(node.size()));
             for (int i = 0; i < node.size(); i++) {
-                flatten(below + i, node.get(i), values);
+                flatten(prefix + i, node.get(i), values);
             }
         } else if (node.isArray()) {
             StringBuilder words = new StringBuilder();
@@ -142,12 +144,12 @@
     private static InetSocketAddress address(JsonNode root, String key) throws InvalidConfigException {
         InetSocketAddress address = parseAddress(root.path(key).asText(""));
         if (address == null) {
-            throw new InvalidConfigException(key + ": missing, or no address and port");
+            throw new InvalidConfigException(key + ": missing or not an IP address and port");
         }
         return address;
     }
 
-    /** An address in numbers and a port, or null: there is no DNS to ask. */
+    /** Parses a numeric IP address and a port; returns null for anything else, since there is no DNS to resolve names. */
     static InetSocketAddress parseAddress(String text) {
         int colon = text.lastIndexOf(':');
         if (colon <= 0 || !text.substring(0, colon).matches("[0-9.]+|\\[[0-9a-fA-F:.]+\\]")) {
@@ -164,7 +166,7 @@
         try {
             return Long.parseUnsignedLong(root.path("seed").asText(""), 16);
         } catch (NumberFormatException e) {
-            throw new InvalidConfigException("seed: missing, or no hexadecimal number");
+            throw new InvalidConfigException("seed: missing or not a hexadecimal number");
         }
     }
 
--- a/sidecar/src/main/java/gradehub/node/GuardedTask.java
+++ b/sidecar/src/main/java/gradehub/node/GuardedTask.java
@@ -1,16 +1,16 @@
 package gradehub.node;
 
-/** Runs a step of the event loop whose failure must not stop what is to come after it. */
+/** Runs event loop tasks whose failure must not prevent later tasks. */
 final class GuardedTask {
 
     private static final System.Logger LOG = System.getLogger("gradehub");
 
     private GuardedTask() {}
 
-    /** Runs this; an exception is logged and goes no further. */
-    static void run(String name, Runnable step) {
+    /** Runs a task; an exception is logged and not propagated. */
+    static void run(String name, Runnable task) {
         try {
-            step.run();
+            task.run();
         } catch (RuntimeException e) {
             LOG.log(System.Logger.Level.ERROR, name + " failed", e);
         }
--- a/sidecar/src/main/java/gradehub/node/RateLimitedLog.java
+++ b/sidecar/src/main/java/gradehub/node/RateLimitedLog.java
@@ -2,7 +2,7 @@
 
 import java.util.concurrent.TimeUnit;
 
-/** Logs what can come in floods: one line a second at the most, which says how many were left out before it. */
+/** Logs warnings that can occur in bursts: at most one line per second, with the number suppressed since the last. */
 final class RateLimitedLog {
 
     private static final System.Logger LOG = System.getLogger("gradehub");
@@ -10,18 +10,18 @@
 
     private boolean logged;
     private long lastNanos;
-    private long leftOut;
+    private long suppressed;
 
     void warn(String message) {
         long nowNanos = System.nanoTime();
         if (logged && nowNanos - lastNanos < PERIOD_NANOS) {
-            leftOut++;
+            suppressed++;
             return;
         }
-        String suffix = leftOut == 0 ? "" : " (" + leftOut + " more since the last line)";
+        String suffix = suppressed == 0 ? "" : " (" + suppressed + " more suppressed since the last line)";
         logged = true;
         lastNanos = nowNanos;
-        leftOut = 0;
+        suppressed = 0;
         LOG.log(System.Logger.Level.WARNING, message + suffix);
     }
 }
--- a/sidecar/src/main/java/gradehub/node/ReloadSignal.java
+++ b/sidecar/src/main/java/gradehub/node/ReloadSignal.java
@@ -7,64 +7,64 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * SIGHUP: read the configuration again. It is caught from the start on, since it would end the virtual machine; one
- * that comes before there is anything to reload is kept for later. Files are read on a thread of its own. What could
- * not be read is read again until it can be, or until a newer signal comes.
+ * Handles SIGHUP, which reloads the configuration. The handler is installed first thing at startup, because without
+ * one the signal ends the JVM; a signal that arrives before there is a reload action is kept until then. Files are read
+ * on a separate thread. A failed read is retried until it succeeds or a newer signal arrives.
  */
 final class ReloadSignal {
 
-    private static final long FIRST_PAUSE_MS = 20;
-    private static final long LONGEST_PAUSE_MS = 500;
+    private static final long MIN_RETRY_DELAY_MS = 20;
+    private static final long MAX_RETRY_DELAY_MS = 500;
 
-    private final ScheduledExecutorService reading = Executors.newSingleThreadScheduledExecutor(action -> {
+    private final ScheduledExecutorService executor = Executors.newSingleThreadScheduledExecutor(action -> {
         Thread thread = new Thread(action, "reload");
         thread.setDaemon(true);
         return thread;
     });
     private BooleanSupplier reload;
-    private boolean early;
-    /** How many signals have come: a retry for an older one is of no use. */
+    private boolean pending;
+    /** Number of signals received; a retry for an older signal is dropped. */
     private volatile int signals;
 
-    /** By reflection: the one means there is for signals makes the compiler warn, and warnings end the build. */
+    /** Uses reflection: the only API for signals causes a compiler warning, and warnings fail the build. */
     ReloadSignal() throws ReflectiveOperationException {
         Class<?> signal = Class.forName("sun.misc.Signal");
         Class<?> handler = Class.forName("sun.misc.SignalHandler");
-        Object calls =
+        Object onReceive =
                 Proxy.newProxyInstance(handler.getClassLoader(), new Class<?>[] {handler}, (proxy, method, args) -> {
-                    came();
+                    signalReceived();
                     return null;
                 });
         signal.getMethod("handle", signal, handler)
-                .invoke(null, signal.getConstructor(String.class).newInstance("HUP"), calls);
+                .invoke(null, signal.getConstructor(String.class).newInstance("HUP"), onReceive);
     }
 
-    /** Runs this at each signal from now on, and now if one has come before; again where it returns false. */
+    /** Sets the action for each signal, and runs it now if one is pending; the action returns false to be retried. */
     synchronized void onSignal(BooleanSupplier action) {
         reload = action;
-        if (early) {
-            read(signals, 0);
+        if (pending) {
+            scheduleReload(signals, 0);
         }
     }
 
-    private synchronized void came() {
+    private synchronized void signalReceived() {
         signals++;
         if (reload == null) {
-            early = true;
+            pending = true;
         } else {
-            read(signals, 0);
+            scheduleReload(signals, 0);
         }
     }
 
-    private void read(int signal, long pauseMs) {
-        reading.schedule(
+    private void scheduleReload(int signal, long delayMs) {
+        executor.schedule(
                 () -> {
-                    boolean isRetry = pauseMs > 0;
+                    boolean isRetry = delayMs > 0;
                     if ((!isRetry || signal == signals) && !reload.getAsBoolean()) {
-                        read(signal, Math.min(LONGEST_PAUSE_MS, Math.max(FIRST_PAUSE_MS, 2 * pauseMs)));
+                        scheduleReload(signal, Math.min(MAX_RETRY_DELAY_MS, Math.max(MIN_RETRY_DELAY_MS, 2 * delayMs)));
                     }
                 },
-                pauseMs,
+                delayMs,
                 TimeUnit.MILLISECONDS);
     }
 }
--- a/sidecar/src/main/java/gradehub/node/Sidecar.java
+++ b/sidecar/src/main/java/gradehub/node/Sidecar.java
@@ -15,27 +15,27 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Supplier;
 
-/** Puts the sidecar together on one event loop, and takes it down without losing what it has taken. */
+/** Creates the parts of the sidecar on one event loop, and shuts them down without losing accepted requests. */
 public final class Sidecar {
 
     private static final System.Logger LOG = System.getLogger("gradehub");
-    private static final int FAILED = 1;
-    private static final int BAD_CONFIGURATION = 2;
-    /** For the last lines of the log to come out, where its reader reads. */
-    private static final long LAST_LINES_MS = 200;
-    /** After SIGTERM new connections go on coming for a while; until then all of them are served as ever. */
-    private static final long GOES_ON_MS = 500;
-    /** Between closing what is idle and closing the listener: what is still under way by then is read. */
-    private static final long LAST_CALL_MS = 100;
-    /** With nothing in hand: for a request that is half read, for its answer to be read, and for the looks at both. */
-    private static final long LAST_BYTES_MS =
+    private static final int EXIT_FAILED = 1;
+    private static final int EXIT_INVALID_CONFIG = 2;
+    /** Time for writing the last log lines, if the reader of the log is reading. */
+    private static final long LOG_FLUSH_MS = 200;
+    /** New connections keep arriving for a while after SIGTERM; for this long they are served as before. */
+    private static final long STOP_DELAY_MS = 500;
+    /** Delay between closing idle connections and closing the listener: requests in transit by then are read. */
+    private static final long LISTENER_CLOSE_DELAY_MS = 100;
+    /** Wait with no request in flight: for a partly read request, for its answer to be read, and for checking both. */
+    private static final long CONNECTION_DRAIN_MS =
             (long) (ClientConnection.LAST_REQUEST_MS + ClientConnection.DRAIN_MS) + 200;
 
-    private static final long LOOK_MS = 10;
-    /** How often, a look apart, those that wait are accepted before the listener closes, where that fails. */
-    private static final int LAST_ACCEPTS = 50;
-    /** Of the 10 s in which a restarted process has to be ready: until then the start waits for discovery. */
-    private static final long LIST_MS = 9_000;
+    private static final long POLL_MS = 10;
+    /** Limit on attempts, {@link #POLL_MS} apart, to accept pending connections before the listener closes. */
+    private static final int MAX_FINAL_ACCEPTS = 50;
+    /** Time since process start until which it waits for discovery; a restarted process has to be ready within 10 s. */
+    private static final long DISCOVERY_WAIT_MS = 9_000;
 
     private final EventLoop loop;
     private final Engine engine;
@@ -43,17 +43,17 @@
     private final ClientServer clients;
     private final CountDownLatch stopped = new CountDownLatch(1);
     private final RateLimitedLog reloadLog = new RateLimitedLog();
-    /** Made once: tasks that are made on a rare path would be linked while requests wait. */
+    /** Created once: a lambda created on a rare code path would be linked while requests wait. */
     private final Runnable stopListening = this::stopListening;
 
-    private final Runnable endWhenAnswered = this::endWhenAnswered;
+    private final Runnable shutDownWhenDrained = this::shutDownWhenDrained;
     private SocketAddress address;
-    /** How often those that wait have been accepted since SIGTERM. */
-    private int lastAccepts;
-    /** How long the end still waits for connections that carry nothing. */
-    private long patienceMs;
+    /** Number of attempts since SIGTERM to accept the pending connections. */
+    private int finalAccepts;
+    /** How much longer the shutdown waits for connections without requests. */
+    private long drainLeftMs;
 
-    private Sidecar(EventLoop loop, Config config, Supplier<LookingChannel> opened) {
+    private Sidecar(EventLoop loop, Config config, Supplier<LookingChannel> channelFactory) {
         this.loop = loop;
         SocketBudget sockets = new SocketBudget(config.sockets());
         Clock clock = new Clock();
@@ -62,15 +62,15 @@
                 clock,
                 config,
                 sockets,
-                opened,
+                channelFactory,
                 actions -> new LoadShiftingBalancer(config.settings(), config.seed(), actions));
-        discovery = new Discovery(loop, config, opened, engine);
+        discovery = new Discovery(loop, config, channelFactory, engine);
         clients = new ClientServer(loop, clock, config.settings(), engine, sockets, discovery::hasList);
         engine.start(discovery);
         discovery.start(config);
     }
 
-    /** Serves until SIGTERM, and then until all that was taken is answered. */
+    /** Serves until SIGTERM, then until all accepted requests are answered. */
     public static void main(Map<String, String> environment) throws InterruptedException {
         StandardErrorLog log = StandardErrorLog.install();
         try {
@@ -79,40 +79,42 @@
             Config config = retry.runUntilSuccess("reading the configuration", () -> Config.loadForStart(environment));
             Sidecar sidecar = retry.runUntilSuccess("opening the event loop", () -> createForStart(config));
             signal.onSignal(() -> sidecar.reload(environment));
-            Warmup.run(); // while discovery answers
-            System.gc(); // else the first collection in service copies all that the start has left
-            sidecar.discovery.awaitAnswer(longestListMs());
+            Warmup.run(); // discovery answers meanwhile
+            System.gc(); // otherwise the first collection while serving copies all objects left over from startup
+            sidecar.discovery.awaitAnswer(discoveryWaitMs());
             onSigterm(new Thread(() -> sidecar.stopAndExit(log), "stop"));
             retry.runUntilSuccess("listening", () -> sidecar.listen(config));
             LOG.log(System.Logger.Level.INFO, "listening on " + sidecar.address());
         } catch (Config.InvalidConfigException e) {
             System.err.println("gradehub: " + e.getMessage());
-            exit(log, BAD_CONFIGURATION);
+            exit(log, EXIT_INVALID_CONFIG);
         } catch (IOException e) {
             System.err.println("gradehub: " + e.getMessage());
-            exit(log, FAILED);
+            exit(log, EXIT_FAILED);
         } catch (RuntimeException | ReflectiveOperationException e) {
-            LOG.log(System.Logger.Level.ERROR, "can't start", e); // the event loop alone would keep the process up
-            exit(log, FAILED);
+            LOG.log(System.Logger.Level.ERROR, "startup failed", e);
+            // Without an explicit exit the event loop alone would keep the process running.
+            exit(log, EXIT_FAILED);
         }
     }
 
-    /** Without the hook of SIGTERM, which would end the program as if all were well. */
+    /** Exits without running the SIGTERM hook, which would exit with status 0. */
     private static void exit(StandardErrorLog log, int status) throws InterruptedException {
-        log.flush(LAST_LINES_MS);
+        log.flush(LOG_FLUSH_MS);
         Runtime.getRuntime().halt(status);
     }
 
-    /** What is left of the time in which a start waits for discovery. */
-    private static long longestListMs() {
-        return Math.max(0, LIST_MS - ManagementFactory.getRuntimeMXBean().getUptime());
+    /** Returns the rest of the time for which startup waits for discovery. */
+    private static long discoveryWaitMs() {
+        return Math.max(
+                0, DISCOVERY_WAIT_MS - ManagementFactory.getRuntimeMXBean().getUptime());
     }
 
     private static Sidecar createForStart(Config config) throws IOException {
         try {
             return create(config);
         } catch (ChannelException | IllegalStateException e) {
-            throw new IOException(e.getMessage(), e); // for want of descriptors
+            throw new IOException(e.getMessage(), e); // no file descriptor available
         }
     }
 
@@ -122,22 +124,22 @@
         return sidecar;
     }
 
-    /** One that does all but listen. */
+    /** Creates a sidecar that does not listen yet. */
     static Sidecar create(Config config) {
         return create(config, LookingChannel::new);
     }
 
-    /** The same, with another source of sockets to connect with. */
-    static Sidecar create(Config config, Supplier<LookingChannel> opened) {
+    /** Creates a sidecar with a custom factory for the channels of outgoing connections. */
+    static Sidecar create(Config config, Supplier<LookingChannel> channelFactory) {
         EventLoopGroup group =
                 new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory(new ObservedSelectorProvider()));
         EventLoop loop = group.next();
-        return loop.submit(() -> new Sidecar(loop, config, opened))
+        return loop.submit(() -> new Sidecar(loop, config, channelFactory))
                 .syncUninterruptibly()
                 .getNow();
     }
 
-    /** From the first request on SIGTERM lets what was taken be answered: the hook is there before it comes. */
+    /** Installed before the sidecar listens, so that SIGTERM never interrupts an accepted request. */
     private static void onSigterm(Thread stop) {
         Runtime.getRuntime().addShutdownHook(stop);
     }
@@ -145,7 +147,7 @@
     SocketAddress listen(Config config) throws InterruptedException, IOException {
         ChannelFuture bound = clients.bind(config.listen()).await();
         if (!bound.isSuccess()) {
-            throw new IOException("can't listen on " + config.listen() + ": " + bound.cause(), bound.cause());
+            throw new IOException("cannot listen on " + config.listen() + ": " + bound.cause(), bound.cause());
         }
         address = bound.channel().localAddress();
         return address;
@@ -159,12 +161,12 @@
         return engine;
     }
 
-    /** How many connections clients hold. */
+    /** Returns the number of open client connections. */
     int clients() {
         return clients.open();
     }
 
-    /** How late the event loop runs, by what its clients wait. */
+    /** Returns the lag of the event loop: how long input from clients may have waited. */
     double lagMs() {
         return clients.lagMs();
     }
@@ -174,30 +176,31 @@
     }
 
     /**
-     * Reads the configuration again. Only where discovery is can change while it runs; a bad file changes nothing.
-     * Returns false where the file could not be read as a whole, as when it is being replaced, and may be later.
+     * Reads the configuration again. Only the address of discovery can change at run time; an invalid file changes
+     * nothing. Returns false if the file could not be read completely, for example while it is being replaced, so that a
+     * later attempt may succeed.
      */
     boolean reload(Map<String, String> environment) {
         try {
-            Config read = Config.load(environment);
-            loop.execute(() -> discovery.moveTo(read.discovery()));
+            Config reloaded = Config.load(environment);
+            loop.execute(() -> discovery.moveTo(reloaded.discovery()));
             return true;
         } catch (Config.InvalidConfigException e) {
-            reloadLog.warn("the new configuration is of no use, the old one stands: " + e.getMessage());
+            reloadLog.warn("ignoring the new configuration, keeping the old one: " + e.getMessage());
             return e.fault() == Config.Fault.INVALID;
         } catch (RuntimeException e) {
-            LOG.log(System.Logger.Level.ERROR, "reloading failed, the old configuration stands", e);
+            LOG.log(System.Logger.Level.ERROR, "reloading the configuration failed, keeping the old one", e);
             return true;
         }
     }
 
-    /** The virtual machine ends when its hooks do, with the signal's status; this one ends it itself, when done. */
+    /** Exits with status 0; after the shutdown hooks the JVM would exit with the status of the signal. */
     private void stopAndExit(StandardErrorLog log) {
         try {
             LOG.log(System.Logger.Level.INFO, "stopping");
             stop();
             LOG.log(System.Logger.Level.INFO, "stopped");
-            log.flush(LAST_LINES_MS);
+            log.flush(LOG_FLUSH_MS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
@@ -208,9 +211,9 @@
         loop.schedule(
                 () -> {
                     GuardedTask.run("ending connections", this::endConnections);
-                    loop.schedule(stopListening, LAST_CALL_MS, TimeUnit.MILLISECONDS);
+                    loop.schedule(stopListening, LISTENER_CLOSE_DELAY_MS, TimeUnit.MILLISECONDS);
                 },
-                GOES_ON_MS,
+                STOP_DELAY_MS,
                 TimeUnit.MILLISECONDS);
         stopped.await();
     }
@@ -219,7 +222,7 @@
         return discovery.pauseMs();
     }
 
-    /** Leaves the watch and opens another. */
+    /** Closes the watch and opens a new one. */
     void reopenWatch() {
         discovery.subscribe(true);
     }
@@ -228,37 +231,37 @@
         clients.endConnections();
     }
 
-    /** A failed accept is repeated, since those that wait would be reset by the listener's close. */
+    /** Retries a failed accept first: closing the listener resets the connections that are still pending. */
     void stopListening() {
-        lastAccepts++;
-        if (!clients.acceptWaiting() && lastAccepts < LAST_ACCEPTS) {
-            loop.schedule(stopListening, LOOK_MS, TimeUnit.MILLISECONDS);
+        finalAccepts++;
+        if (!clients.acceptWaiting() && finalAccepts < MAX_FINAL_ACCEPTS) {
+            loop.schedule(stopListening, POLL_MS, TimeUnit.MILLISECONDS);
             return;
         }
         GuardedTask.run("closing the listener", clients::stopListening);
-        patienceMs = LAST_BYTES_MS;
-        endWhenAnswered();
+        drainLeftMs = CONNECTION_DRAIN_MS;
+        shutDownWhenDrained();
     }
 
-    /** Ends what is overdue, as the sidecar does now and then by itself. */
+    /** Runs the periodic check that closes overdue client connections. */
     void closeOverdueClients() {
         clients.look();
     }
 
     /**
-     * Each connection ends with its last answer, and one that carries nothing by itself. Only a client that does not
-     * read what it is sent is not waited for.
+     * Shuts down when no request is in flight and all client connections are closed. A connection closes after its
+     * last answer, an idle one by itself. Clients that do not read their answers are not waited for.
      */
-    private void endWhenAnswered() {
-        if (engine.inHand() == 0 && (clients.open() == 0 || patienceMs <= 0)) {
+    private void shutDownWhenDrained() {
+        if (engine.inHand() == 0 && (clients.open() == 0 || drainLeftMs <= 0)) {
             halt();
             return;
         }
-        patienceMs = engine.inHand() > 0 ? LAST_BYTES_MS : patienceMs - LOOK_MS;
-        loop.schedule(endWhenAnswered, LOOK_MS, TimeUnit.MILLISECONDS);
+        drainLeftMs = engine.inHand() > 0 ? CONNECTION_DRAIN_MS : drainLeftMs - POLL_MS;
+        loop.schedule(shutDownWhenDrained, POLL_MS, TimeUnit.MILLISECONDS);
     }
 
-    /** Ends the event loop, and with it every connection. */
+    /** Shuts down the event loop, which closes every connection. */
     void halt() {
         loop.parent().shutdownGracefully(0, 1, TimeUnit.SECONDS).addListener(done -> stopped.countDown());
     }
--- a/sidecar/src/main/java/gradehub/node/StartRetry.java
+++ b/sidecar/src/main/java/gradehub/node/StartRetry.java
@@ -5,45 +5,45 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Goes on trying what a start needs while it fails for a reason that may pass, as want of descriptors or a port in use
- * does, until the platform's time for a start is nearly over.
+ * Retries the steps of startup that fail for a transient reason, such as a lack of file descriptors or a port in use,
+ * until shortly before the platform's startup timeout.
  */
 final class StartRetry {
 
-    /** A step of the start; an {@link IOException} is taken for a failure that may pass. */
+    /** A step of startup; an {@link IOException} counts as a transient failure. */
     interface Step<T> {
         T run() throws IOException, InterruptedException, Config.InvalidConfigException;
     }
 
     private static final System.Logger LOG = System.getLogger("gradehub");
-    private static final long PAUSE_MS = 50;
-    /** The platform takes a process for failed that is not ready 30 s after its start. */
-    private static final long LONGEST_MS = 28_000;
+    private static final long RETRY_DELAY_MS = 50;
+    /** The platform considers a process failed if it is not ready 30 s after its start. */
+    private static final long TIMEOUT_MS = 28_000;
 
-    private final long endNanos;
+    private final long deadlineNanos;
 
-    /** For a process that has run for as long as the virtual machine says. */
+    /** The timeout counts from the start of the JVM. */
     StartRetry() {
-        long leftMs = LONGEST_MS - ManagementFactory.getRuntimeMXBean().getUptime();
-        endNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(leftMs);
+        long leftMs = TIMEOUT_MS - ManagementFactory.getRuntimeMXBean().getUptime();
+        deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(leftMs);
     }
 
-    /** Runs a step until it succeeds; the last failure is thrown once there is no time left. */
+    /** Runs a step until it succeeds; after the timeout throws the last failure. */
     <T> T runUntilSuccess(String name, Step<T> step)
             throws IOException, InterruptedException, Config.InvalidConfigException {
-        boolean told = false;
+        boolean logged = false;
         while (true) {
             try {
                 return step.run();
             } catch (IOException e) {
-                if (System.nanoTime() >= endNanos) {
+                if (System.nanoTime() >= deadlineNanos) {
                     throw e;
                 }
-                if (!told) {
-                    LOG.log(System.Logger.Level.WARNING, name + " failed, trying again: " + e.getMessage());
+                if (!logged) {
+                    LOG.log(System.Logger.Level.WARNING, name + " failed, retrying: " + e.getMessage());
                 }
-                told = true;
-                TimeUnit.MILLISECONDS.sleep(PAUSE_MS);
+                logged = true;
+                TimeUnit.MILLISECONDS.sleep(RETRY_DELAY_MS);
             }
         }
     }
--- a/sidecar/src/test/java/gradehub/node/ConfigTest.java
+++ b/sidecar/src/test/java/gradehub/node/ConfigTest.java
@@ -16,11 +16,11 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The configuration, and the real program's ways to end. */
+/** Tests reading the configuration, and the exit status of the program. */
 class ConfigTest {
 
     @Test
-    void nestedSettingsReadLikeTheAdaptersLines() throws Exception {
+    void nestedSettingsAreReadLikeTheFlatOnesOfTheSimulator() throws Exception {
         try (SidecarFixture fixture = new SidecarFixture()) {
             Config config = Config.parse(fixture.config(null));
             assertEquals(2, config.settings().classes().size());
@@ -33,45 +33,48 @@
     }
 
     @Test
-    void aBadConfigurationNamesTheKey() throws Exception {
-        assertNamed("BALANCER_CONFIG", assertThrows(Config.InvalidConfigException.class, () -> Config.load(Map.of())));
+    void messageOfAnInvalidConfigurationStartsWithTheKey() throws Exception {
+        assertMessageStartsWith(
+                "BALANCER_CONFIG", assertThrows(Config.InvalidConfigException.class, () -> Config.load(Map.of())));
         for (String key : new String[] {"listen", "discovery", "seed", "settings"}) {
             try (SidecarFixture fixture = new SidecarFixture()) {
                 ObjectNode root = fixture.config(null);
                 root.remove(key);
-                assertNamed(key, assertThrows(Config.InvalidConfigException.class, () -> Config.parse(root)));
+                assertMessageStartsWith(
+                        key, assertThrows(Config.InvalidConfigException.class, () -> Config.parse(root)));
                 root.put(key, "neither here nor there");
-                assertNamed(key, assertThrows(Config.InvalidConfigException.class, () -> Config.parse(root)));
+                assertMessageStartsWith(
+                        key, assertThrows(Config.InvalidConfigException.class, () -> Config.parse(root)));
             }
         }
     }
 
-    private static void assertNamed(String key, Exception failure) {
+    private static void assertMessageStartsWith(String key, Exception failure) {
         assertTrue(failure.getMessage().startsWith(key), failure.getMessage());
         assertEquals(1, failure.getMessage().lines().count());
     }
 
     @Test
-    void theProgramExitsWithTwoOnABadConfiguration(@TempDir Path dir) throws Exception {
+    void exitsWithStatus2OnAnInvalidConfiguration(@TempDir Path dir) throws Exception {
         Path file = Files.writeString(dir.resolve("config.json"), "{}");
         Process process = serve(file);
         try (BufferedReader log =
                 new BufferedReader(new InputStreamReader(process.getErrorStream(), StandardCharsets.UTF_8))) {
-            assertEquals("gradehub: settings: missing, or no object", log.readLine());
+            assertEquals("gradehub: settings: missing or not an object", log.readLine());
         }
         assertTrue(process.waitFor(RawConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS));
         assertEquals(2, process.exitValue());
     }
 
-    /** The virtual machine by itself would end with the signal's status, and cut short what is in hand. */
+    /** By default the JVM exits with the status of the signal, and requests in flight are lost. */
     @Test
-    void theProgramEndsWellOnSigterm(@TempDir Path dir) throws Exception {
+    void exitsWithStatus0OnSigterm(@TempDir Path dir) throws Exception {
         try (SidecarFixture fixture = new SidecarFixture()) {
             Path file = Files.writeString(
                     dir.resolve("config.json"),
                     fixture.config(SidecarFixture.list(1, true)).toString());
             Process process = serve(file);
-            // It watches once it runs; the log then tells that it listens.
+            // SIGTERM is sent only after the program has logged that it listens.
             try (BufferedReader log =
                     new BufferedReader(new InputStreamReader(process.getErrorStream(), StandardCharsets.UTF_8))) {
                 String line = log.readLine();
--- a/sidecar/src/test/java/gradehub/node/ReloadTest.java
+++ b/sidecar/src/test/java/gradehub/node/ReloadTest.java
@@ -14,19 +14,19 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** SIGHUP and a configuration that names another discovery. */
+/** Tests reloading on SIGHUP, with a configuration that has another address of discovery. */
 class ReloadTest {
 
     @TempDir
     private Path folder;
 
-    private Map<String, String> file(String text) throws Exception {
+    private Map<String, String> writeConfig(String text) throws Exception {
         Path file = folder.resolve("config.json");
         Files.writeString(file, text);
         return Map.of("BALANCER_CONFIG", file.toString());
     }
 
-    private static void hangUp() throws Exception {
+    private static void sendSighup() throws Exception {
         assertEquals(
                 0,
                 new ProcessBuilder(
@@ -37,45 +37,45 @@
                         .waitFor());
     }
 
-    /** Without a handler this ends the virtual machine; one that comes early counts all the same. */
+    /** Without a handler the signal ends the JVM; a signal before the action is set must not be lost either. */
     @Test
-    void theSignalRunsWhatReloads() throws Exception {
+    void signalsBeforeAndAfterTheActionIsSetRunIt() throws Exception {
         ReloadSignal signal = new ReloadSignal();
-        CountDownLatch twice = new CountDownLatch(2);
-        hangUp();
+        CountDownLatch bothRuns = new CountDownLatch(2);
+        sendSighup();
         signal.onSignal(() -> {
-            twice.countDown();
+            bothRuns.countDown();
             return true;
         });
-        hangUp();
-        assertTrue(twice.await(RawConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS));
+        sendSighup();
+        assertTrue(bothRuns.await(RawConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS));
     }
 
-    /** The new address is watched at once, for its whole list whatever its revision; the old watch ends. */
+    /** The new address is watched at once, for the whole list whatever its revision, and the old watch is closed. */
     @Test
-    void anotherDiscoveryIsWatchedAndTheOldOneLeft() throws Exception {
+    void newDiscoveryAddressIsWatchedAndTheOldWatchClosed() throws Exception {
         try (SidecarFixture fixture = new SidecarFixture()) {
             ServerSocket first = fixture.listener();
             ServerSocket second = fixture.listener();
-            ServerSocket moved = fixture.listener();
+            ServerSocket newDiscovery = fixture.listener();
             fixture.start(SidecarFixture.list(
                     41, true, SidecarFixture.member("u1", SidecarFixture.address(first), "active")));
-            RawConnection old = fixture.acceptWatch();
-            ObjectNode config = fixture.config(null).put("discovery", SidecarFixture.address(moved));
-            fixture.sidecar().reload(file(config.toString()));
-            RawConnection watch = SidecarFixture.accept(moved);
+            RawConnection oldWatch = fixture.acceptWatch();
+            ObjectNode config = fixture.config(null).put("discovery", SidecarFixture.address(newDiscovery));
+            fixture.sidecar().reload(writeConfig(config.toString()));
+            RawConnection watch = SidecarFixture.accept(newDiscovery);
             assertEquals("GET /v1/endpoints?watch=1 HTTP/1.1", watch.read().startLine());
-            assertTrue(old.awaitClose());
+            assertTrue(oldWatch.awaitClose());
             try (RawConnection client = fixture.client()) {
                 client.send(SidecarFixture.getRequest(SidecarFixture.requestId(1)));
-                RawConnection up = SidecarFixture.accept(first);
-                up.read();
-                up.send(SidecarFixture.answer("200 OK", "one"));
-                assertEquals("one", client.read().body(), "until the new list comes the old one stands");
+                RawConnection connection = SidecarFixture.accept(first);
+                connection.read();
+                connection.send(SidecarFixture.answer("200 OK", "one"));
+                assertEquals("one", client.read().body(), "the old list is used until the new one arrives");
                 watch.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
                         + SidecarFixture.chunk(SidecarFixture.list(
                                 3, true, SidecarFixture.member("u2", SidecarFixture.address(second), "active"))));
-                assertTrue(up.awaitClose());
+                assertTrue(connection.awaitClose());
                 client.send(SidecarFixture.getRequest(SidecarFixture.requestId(2)));
                 assertEquals(
                         SidecarFixture.requestId(2),
@@ -84,53 +84,55 @@
         }
     }
 
-    /** A file that is being replaced was read once, and the move to another discovery was lost. */
+    /** Guards against losing a change of the discovery address: a file that was being replaced was read only once. */
     @Test
-    void aReloadThatFoundNoWholeFileIsRepeated() throws Exception {
+    void reloadOfAnIncompleteFileIsRetried() throws Exception {
         ReloadSignal signal = new ReloadSignal();
-        CountDownLatch thrice = new CountDownLatch(3);
+        CountDownLatch threeRuns = new CountDownLatch(3);
         signal.onSignal(() -> {
-            thrice.countDown();
-            return thrice.getCount() == 0;
+            threeRuns.countDown();
+            return threeRuns.getCount() == 0;
         });
-        hangUp();
-        assertTrue(thrice.await(RawConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS));
+        sendSighup();
+        assertTrue(threeRuns.await(RawConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS));
     }
 
-    /** Whether a file may become better by itself decides whether it is read again. */
+    /** A file is read again only if a later read may succeed without another signal. */
     @Test
-    void onlyAFileThatIsNotWholeIsReadAgain() throws Exception {
+    void onlyAnIncompleteFileIsReadAgain() throws Exception {
         try (SidecarFixture fixture = new SidecarFixture()) {
             fixture.start(SidecarFixture.list(1, true));
-            String whole = fixture.config(null).toString();
-            assertFalse(fixture.sidecar().reload(file(whole.substring(0, whole.length() / 2))), "half written");
-            assertFalse(fixture.sidecar().reload(file("")), "not written yet");
+            String complete = fixture.config(null).toString();
+            assertFalse(
+                    fixture.sidecar().reload(writeConfig(complete.substring(0, complete.length() / 2))),
+                    "partly written");
+            assertFalse(fixture.sidecar().reload(writeConfig("")), "empty");
             assertFalse(fixture.sidecar()
                     .reload(Map.of("BALANCER_CONFIG", folder.resolve("missing").toString())));
-            assertTrue(fixture.sidecar().reload(file("{}")), "whole and wrong");
-            assertTrue(fixture.sidecar().reload(file(whole)));
+            assertTrue(fixture.sidecar().reload(writeConfig("{}")), "complete but invalid");
+            assertTrue(fixture.sidecar().reload(writeConfig(complete)));
         }
     }
 
     @Test
-    void aBadFileChangesNothing() throws Exception {
+    void invalidFileChangesNothing() throws Exception {
         try (SidecarFixture fixture = new SidecarFixture()) {
             ServerSocket upstream = fixture.listener();
             fixture.start(SidecarFixture.list(
                     1, true, SidecarFixture.member("u1", SidecarFixture.address(upstream), "active")));
             RawConnection watch = fixture.acceptWatch();
-            fixture.sidecar().reload(file("{\"discovery\":"));
+            fixture.sidecar().reload(writeConfig("{\"discovery\":"));
             fixture.sidecar()
                     .reload(Map.of("BALANCER_CONFIG", folder.resolve("missing").toString()));
             try (RawConnection client = fixture.client()) {
                 client.send(SidecarFixture.getRequest(SidecarFixture.requestId(1)));
-                RawConnection up = SidecarFixture.accept(upstream);
-                up.read();
-                up.send(SidecarFixture.answer("200 OK", "one"));
+                RawConnection connection = SidecarFixture.accept(upstream);
+                connection.read();
+                connection.send(SidecarFixture.answer("200 OK", "one"));
                 assertEquals("one", client.read().body());
                 watch.send(SidecarFixture.chunk(SidecarFixture.list(
                         2, false, SidecarFixture.member("u1", SidecarFixture.address(upstream), "leaving"))));
-                assertTrue(up.awaitClose(), "the old watch is heard as before");
+                assertTrue(connection.awaitClose(), "the existing watch still takes effect");
             }
         }
     }
--- a/sidecar/src/test/java/gradehub/node/StartFaultIT.java
+++ b/sidecar/src/test/java/gradehub/node/StartFaultIT.java
@@ -15,17 +15,17 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The start of a sidecar: calls that fail for a moment, and a list that has grown old since the last run. */
+/** Tests startup with system calls that fail temporarily and with a stale list in the configuration. */
 class StartFaultIT {
 
     private static final long SEED = 1;
-    /** More than the virtual machine and a start without retries make. */
+    /** More calls of one kind than the JVM and a startup without retries make. */
     private static final int FAILURES = 20;
 
     @TempDir
     private Path folder;
 
-    /** Incident c9ba44: a process that found no socket, port or configuration for a moment ended and did not serve. */
+    /** Incident c9ba44: a process that could not get a socket, port or configuration at once exited and did not serve. */
     @ParameterizedTest
     @CsvSource({
         "SOCKET, ENOBUFS",
@@ -36,7 +36,7 @@
         "FCNTL, EINVAL",
         "OPEN_CONFIG, EIO"
     })
-    void aCallThatFailsForTheFirstMomentsDelaysTheStartAndDoesNotEndIt(Call call, Error error) throws Exception {
+    void temporarilyFailingCallDelaysTheStartup(Call call, Error error) throws Exception {
         SyscallFaults faults = new SyscallFaults(folder, SEED);
         faults.set(call, error, 100);
         try (SidecarFixture fixture = new SidecarFixture();
@@ -58,9 +58,9 @@
         }
     }
 
-    /** What no retry can mend still ends the process at once, with the error. */
+    /** An error that no retry can fix still ends the process at once, with a message. */
     @Test
-    void aWrongConfigurationEndsTheStart() throws Exception {
+    void invalidConfigurationEndsTheStartup() throws Exception {
         try (SidecarFixture fixture = new SidecarFixture()) {
             ObjectNode config = fixture.config(null);
             config.remove("seed");
@@ -74,29 +74,29 @@
     }
 
     /**
-     * Incident c9ba44, rule drain: a restarted sidecar listened with the list of its configuration, while discovery was
-     * there and had not answered yet, and sent to an upstream that had gone while it was down.
+     * Incident c9ba44, rule drain: a restarted sidecar served with the list of its configuration before discovery, which
+     * was reachable, had answered. It sent to an upstream that had left while the sidecar was down.
      */
     @Test
-    void aRestartedSidecarDoesNotServeByItsOldListBeforeDiscoveryHasAnswered() throws Exception {
+    void restartedSidecarDoesNotServeWithTheOldListBeforeDiscoveryAnswers() throws Exception {
         try (SidecarFixture fixture = new SidecarFixture();
-                StubServer gone = StubServer.upstream();
-                StubServer present = StubServer.upstream()) {
+                StubServer departed = StubServer.upstream();
+                StubServer current = StubServer.upstream()) {
             ServerSocket discovery = fixture.discovery;
-            String known = SidecarFixture.list(1, true, SidecarFixture.member("u1", gone.address(), "active"));
+            String known = SidecarFixture.list(1, true, SidecarFixture.member("u1", departed.address(), "active"));
             ObjectNode config = fixture.config(known);
             try (SidecarProcess sidecar =
                             SidecarProcess.start(folder, config, new SyscallFaults(folder, SEED).environment());
                     RawConnection watch = SidecarFixture.accept(discovery)) {
                 watch.read();
                 while (!sidecar.log().contains("waiting for the list")) {
-                    assertFalse(sidecar.isReady(), "it serves by a list of unknown age");
+                    assertFalse(sidecar.isReady(), "ready with a list of unknown age");
                     TimeUnit.MILLISECONDS.sleep(1);
                 }
                 assertFalse(sidecar.isReady());
                 watch.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
                         + SidecarFixture.chunk(SidecarFixture.list(
-                                2, true, SidecarFixture.member("u2", present.address(), "active"))));
+                                2, true, SidecarFixture.member("u2", current.address(), "active"))));
                 sidecar.awaitReady();
                 try (RawConnection client = sidecar.client()) {
                     assertEquals(
@@ -105,15 +105,15 @@
                                     .read()
                                     .body());
                 }
-                assertEquals(0, gone.requestCount());
-                assertEquals(1, present.requestCount());
+                assertEquals(0, departed.requestCount());
+                assertEquals(1, current.requestCount());
             }
         }
     }
 
-    /** Discovery that can't be reached must not keep a sidecar from serving by the list that it has. */
+    /** An unreachable discovery must not keep a sidecar from serving with the list of its configuration. */
     @Test
-    void withoutDiscoveryTheOldListIsServedInTime() throws Exception {
+    void unreachableDiscoveryDoesNotPreventServingWithTheOldList() throws Exception {
         try (SidecarFixture fixture = new SidecarFixture();
                 StubServer upstream = StubServer.upstream()) {
             String known = SidecarFixture.list(1, true, SidecarFixture.member("u1", upstream.address(), "active"));
--- a/sidecar/src/test/java/gradehub/node/StopTest.java
+++ b/sidecar/src/test/java/gradehub/node/StopTest.java
@@ -11,10 +11,10 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** What SIGTERM begins: whatever a client has begun to ask is answered before the sidecar ends. */
+/** Tests the shutdown after SIGTERM: every request that a client has begun to send is answered first. */
 class StopTest {
 
-    private static final String READY = "GET /ready HTTP/1.1\r\n\r\n";
+    private static final String READY_REQUEST = "GET /ready HTTP/1.1\r\n\r\n";
 
     private SidecarFixture fixture;
     private ServerSocket upstream;
@@ -47,130 +47,130 @@
         stop.start();
     }
 
-    private void ended() throws Exception {
+    private void awaitStopped() throws Exception {
         stop.join(RawConnection.TIMEOUT_MS);
         assertFalse(stop.isAlive());
     }
 
-    private RawConnection ready() throws Exception {
+    private RawConnection connectReady() throws Exception {
         RawConnection client = fixture.client();
-        assertEquals(200, client.send(READY).read().status());
+        assertEquals(200, client.send(READY_REQUEST).read().status());
         return client;
     }
 
-    /** A connection that rests ends when the sidecar no longer takes requests on it: from then on it closes them. */
-    private void awaitClosing(RawConnection resting) throws Exception {
-        assertTrue(resting.awaitClose());
+    /** Waits until the sidecar closes an idle connection, which it does once it closes connections on shutdown. */
+    private void awaitIdleClose(RawConnection idle) throws Exception {
+        assertTrue(idle.awaitClose());
     }
 
-    private void serve(String id) throws Exception {
-        RawConnection up = SidecarFixture.accept(upstream);
-        assertEquals(id, up.read().header("X-Txn"));
-        up.send(SidecarFixture.answer("200 OK", id, "Connection: close"));
+    private void answerUpstream(String id) throws Exception {
+        RawConnection connection = SidecarFixture.accept(upstream);
+        assertEquals(id, connection.read().header("X-Txn"));
+        connection.send(SidecarFixture.answer("200 OK", id, "Connection: close"));
     }
 
-    private static void assertLast(String id, RawConnection client) throws Exception {
+    private static void assertLastAnswer(String id, RawConnection client) throws Exception {
         RawConnection.Message answer = client.read();
         assertEquals(id, answer.body());
         assertEquals("close", answer.header("Connection"));
         assertTrue(client.awaitClose());
     }
 
-    /** Whoever has sent a part of a request goes on sending: a close then would lose what was taken meanwhile. */
+    /** Guards against closing a connection while the client is still sending a request, which would lose the request. */
     @Test
-    void aRequestThatIsHalfReadIsReadToItsEndAndServed() throws Exception {
+    void partlyReadRequestIsReadCompletelyAndAnswered() throws Exception {
         start("active");
         String request = SidecarFixture.postRequest(SidecarFixture.requestId(1), "body");
-        try (RawConnection client = ready();
-                RawConnection resting = ready()) {
+        try (RawConnection client = connectReady();
+                RawConnection idle = connectReady()) {
             client.send(request.substring(0, request.length() - 2));
-            try (RawConnection later = ready()) {
+            try (RawConnection last = connectReady()) {
                 stop();
-                awaitClosing(later);
+                awaitIdleClose(last);
             }
-            awaitClosing(resting);
+            awaitIdleClose(idle);
             client.send(request.substring(request.length() - 2));
-            serve(SidecarFixture.requestId(1));
-            assertLast(SidecarFixture.requestId(1), client);
+            answerUpstream(SidecarFixture.requestId(1));
+            assertLastAnswer(SidecarFixture.requestId(1), client);
         }
-        ended();
+        awaitStopped();
     }
 
-    /** The end of the sidecar does not wait for a request that never ends, but it does not break it off either. */
+    /** The shutdown does not wait for a request that never becomes complete, but answers it before closing. */
     @Test
-    void aRequestThatStaysHalfReadIsAnsweredBeforeTheEnd() throws Exception {
+    void incompleteRequestIsAnsweredWith408BeforeTheShutdown() throws Exception {
         start("active");
-        try (RawConnection client = ready()) {
+        try (RawConnection client = connectReady()) {
             client.send(SidecarFixture.postRequest(SidecarFixture.requestId(1), "body")
                     .substring(0, 80));
             stop();
             assertEquals(408, client.read().status());
             assertTrue(client.awaitClose());
         }
-        ended();
+        awaitStopped();
     }
 
-    /** The request lies in the socket when the sidecar closes what is idle: it has not been read, but it is there. */
+    /** Guards against losing a request that is in the socket buffer, not yet read, when idle connections are closed. */
     @Test
-    void aRequestThatCrossesTheCloseIsServed() throws Throwable {
+    void requestThatArrivesDuringTheCloseIsAnswered() throws Throwable {
         start("active");
-        try (RawConnection client = ready()) {
+        try (RawConnection client = connectReady()) {
             fixture.whileEventLoopBlocked(() -> {
                 fixture.sidecar().loop().execute(fixture.sidecar()::endConnections);
-                client.send(SidecarFixture.postRequest(
-                        SidecarFixture.requestId(1), "x")); // the event loop has the close to do before it reads this
+                // The event loop runs the close before it reads this.
+                client.send(SidecarFixture.postRequest(SidecarFixture.requestId(1), "x"));
             });
-            serve(SidecarFixture.requestId(1));
-            assertLast(SidecarFixture.requestId(1), client);
+            answerUpstream(SidecarFixture.requestId(1));
+            assertLastAnswer(SidecarFixture.requestId(1), client);
         }
     }
 
     @Test
-    void whatWaitsInTheQueueIsServedWhenAnUpstreamComes() throws Exception {
+    void queuedRequestIsAnsweredWhenAnUpstreamAppears() throws Exception {
         start("leaving");
         try (RawConnection watch = fixture.acceptWatch();
-                RawConnection client = ready();
-                RawConnection resting = ready()) {
+                RawConnection client = connectReady();
+                RawConnection idle = connectReady()) {
             client.send(SidecarFixture.postRequest(SidecarFixture.requestId(1), "x"));
             fixture.awaitRequestsInFlight(1);
             stop();
-            awaitClosing(resting);
+            awaitIdleClose(idle);
             watch.send(SidecarFixture.chunk(SidecarFixture.list(
                     2, false, SidecarFixture.member("u1", SidecarFixture.address(upstream), "active"))));
-            serve(SidecarFixture.requestId(1));
-            assertLast(SidecarFixture.requestId(1), client);
+            answerUpstream(SidecarFixture.requestId(1));
+            assertLastAnswer(SidecarFixture.requestId(1), client);
         }
-        ended();
+        awaitStopped();
     }
 
     @Test
-    void requestsOnNewAndOnKeptConnectionsAreServedMeanwhile() throws Exception {
+    void requestsOnNewAndExistingConnectionsAreAnsweredDuringTheShutdown() throws Exception {
         start("active");
-        try (RawConnection kept = ready();
-                RawConnection inFlight = ready()) {
+        try (RawConnection existing = connectReady();
+                RawConnection inFlight = connectReady()) {
             inFlight.send(SidecarFixture.postRequest(SidecarFixture.requestId(1), "x"));
-            RawConnection up = SidecarFixture.accept(upstream);
-            up.read();
+            RawConnection connection = SidecarFixture.accept(upstream);
+            connection.read();
             stop();
-            kept.send(SidecarFixture.getRequest(SidecarFixture.requestId(2)));
-            serve(SidecarFixture.requestId(2));
-            assertEquals(SidecarFixture.requestId(2), kept.read().body());
+            existing.send(SidecarFixture.getRequest(SidecarFixture.requestId(2)));
+            answerUpstream(SidecarFixture.requestId(2));
+            assertEquals(SidecarFixture.requestId(2), existing.read().body());
             try (RawConnection added = fixture.client()) {
                 added.send(SidecarFixture.getRequest(SidecarFixture.requestId(3)));
-                serve(SidecarFixture.requestId(3));
+                answerUpstream(SidecarFixture.requestId(3));
                 assertEquals(SidecarFixture.requestId(3), added.read().body());
-                awaitClosing(added);
+                awaitIdleClose(added);
             }
-            awaitClosing(kept);
-            up.send(SidecarFixture.answer("200 OK", SidecarFixture.requestId(1)));
-            assertLast(SidecarFixture.requestId(1), inFlight);
+            awaitIdleClose(existing);
+            connection.send(SidecarFixture.answer("200 OK", SidecarFixture.requestId(1)));
+            assertLastAnswer(SidecarFixture.requestId(1), inFlight);
         }
-        ended();
+        awaitStopped();
     }
 
-    /** SIGTERM may come as soon as the program runs: what comes through the listener after that is answered. */
+    /** SIGTERM may arrive before the sidecar listens; the shutdown is the same, so later requests are answered too. */
     @Test
-    void aStopThatComesBeforeItListensIsNoOtherThanALaterOne() throws Exception {
+    void stopBeforeListeningShutsDown() throws Exception {
         Config config = Config.parse(fixture.config(
                 SidecarFixture.list(1, true, SidecarFixture.member("u1", SidecarFixture.address(upstream), "active"))));
         Sidecar sidecar = Sidecar.create(config);
@@ -182,6 +182,6 @@
             }
         });
         stopped.get(RawConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS);
-        assertTrue(sidecar.loop().isShuttingDown(), "it has ended without having listened");
+        assertTrue(sidecar.loop().isShuttingDown(), "the event loop is not shutting down");
     }
 }
