--- a/sidecar/src/main/java/gradehub/Attempt.java
+++ b/sidecar/src/main/java/gradehub/Attempt.java
@@ -1,6 +1,6 @@
 package gradehub;
 
-/** What {@link LoadShiftingBalancer} remembers of one attempt. */
+/** The state of one attempt. */
 final class Attempt {
 
     final Call call;
@@ -9,7 +9,7 @@
     final Balancer.Upstream upstreamEntry; // as listed when sent: names the deduplication group
     final double sentMs;
     final double timeoutMs;
-    Balancer.Outcome outcome; // null while it is out
+    Balancer.Outcome outcome; // null while in flight
 
     Attempt(Call call, UpstreamState upstream, double sentMs, double timeoutMs) {
         this.call = call;
@@ -20,8 +20,8 @@
         this.timeoutMs = timeoutMs;
     }
 
-    void end(Balancer.Outcome how) {
-        outcome = how;
+    void end(Balancer.Outcome result) {
+        outcome = result;
         call.inFlight--;
         upstream.inFlight--;
         upstream.attempts.remove(this);
@@ -31,7 +31,7 @@
         return outcome == null || !outcome.provesNotRun();
     }
 
-    /** Whether an upstream is in the group of the one that this went to, as listed then. */
+    /** Whether an upstream shares a deduplication group with the target of this attempt when sent. */
     boolean inGroup(Balancer.Group group, Balancer.Upstream other) {
         return switch (group) {
             case ALL -> true;
--- a/sidecar/src/main/java/gradehub/Balancer.java
+++ b/sidecar/src/main/java/gradehub/Balancer.java
@@ -4,92 +4,92 @@
 import java.util.Objects;
 
 /**
- * The decisions of one sidecar: what happens is told by the methods below, in the order in which it happened; what is
- * to be done comes back through {@link Actions}, during the call. An instance is used by one thread at a time, reads no
- * clock of its own ({@code nowMs} only grows) and shares nothing with other instances.
+ * The decision logic of one sidecar. The caller reports events through the methods below, in the order in which they
+ * happened; the balancer responds during the call through {@link Actions}. An instance is used by one thread at a time,
+ * reads no clock ({@code nowMs} never decreases) and shares no state with other instances.
  *
  * <p>Identifiers of requests and upstreams are opaque. The attempts of a request are numbered 0, 1, 2 and so on, in
  * the order in which they were sent.
  */
 public interface Balancer {
 
-    /** The sidecar begins. Called once, before anything else but {@link #clientRoom}. */
+    /** The sidecar has started. Called once, before all other methods except {@link #clientRoom}. */
     void start(double nowMs);
 
-    /** How many requests clients can have open at once. Called where it is known, before {@link #start}. */
+    /** Sets how many requests clients can have open at once. Called before {@link #start}, if the number is known. */
     default void clientRoom(int requests) {}
 
-    /** Discovery says something about the upstreams; {@code entries} is empty for {@link ListKind#FAILED}. */
+    /** An update of the list of upstreams; {@code entries} is empty for {@link ListKind#FAILED}. */
     void upstreams(double nowMs, ListKind kind, List<Upstream> entries);
 
-    /** A client's request has come in and is owed exactly one final answer. */
+    /** A client's request has arrived; it must get exactly one final answer. */
     void request(double nowMs, Request request);
 
-    /** The answer of a streamed request has begun; this attempt now belongs to the client. */
+    /** The answer of a streamed request has started, and the client receives it from this attempt. */
     void streamStarted(double nowMs, int request, int attempt, double elapsedMs);
 
     /** An attempt has ended. Each attempt that was sent ends exactly once. */
     void attemptEnded(double nowMs, AttemptEnd end);
 
-    /** The client no longer waits; nothing is owed to it. */
+    /** The client has disconnected; its request needs no answer. */
     void clientLeft(double nowMs, int request);
 
-    /** A timer asked for by {@link Actions#timer} is due. */
+    /** A timer set with {@link Actions#timer} has expired. */
     void timer(double nowMs, int token);
 
-    /** A health probe has ended; of no concern to a balancer that asks for none. */
+    /** A health probe has ended. Ignored by default. */
     default void probeEnded(double nowMs, int upstream, Outcome outcome, double elapsedMs, double[] report) {}
 
-    /** Another sidecar has sent a message; of no concern to a balancer that shares nothing. */
+    /** A message has arrived from another sidecar. Ignored by default. */
     default void peerMessage(double nowMs, int sender, byte[] message) {}
 
-    /** What a balancer may ask of its sidecar. */
+    /** The operations that a balancer can request from its sidecar. */
     interface Actions {
 
-        /** Sends an attempt; the sidecar opens a connection where none is free. */
+        /** Sends an attempt; the sidecar opens a connection if none is idle. */
         void send(int request, int upstream, double timeoutMs);
 
-        /** Final answer: not served, and coming again is harmless. {@code retryAfterMs} 0 gives no advice. */
+        /** Final answer: not served, safe to retry. {@code retryAfterMs} 0 means that no delay is suggested. */
         void refuse(int request, double retryAfterMs);
 
-        /** Final answer: not served, and nothing is known of its effect. */
+        /** Final answer: not served; the request may have been executed. */
         void fail(int request);
 
-        /** Stops waiting for an attempt; it still ends, usually as {@link Outcome#CANCELLED}. */
+        /** Cancels an attempt; it still ends with an event, usually as {@link Outcome#CANCELLED}. */
         void cancel(int request, int attempt);
 
-        /** Asks for a health probe. */
+        /** Sends a health probe. */
         void probe(int upstream);
 
-        /** Asks for {@link Balancer#timer} after a delay; there is no way to unset it. */
+        /** Calls {@link Balancer#timer} after a delay; a timer cannot be cancelled. */
         void timer(double delayMs, int token);
 
-        /** Opens or closes the standing subscription to the list of upstreams. */
+        /** Opens or closes the subscription to the list of upstreams. */
         void subscribe(boolean on);
 
-        /** Asks for the full list once. */
+        /** Fetches the full list once. */
         void fetchList();
 
         /** Closes this sidecar's idle connections to an upstream. */
         void closeIdle(int upstream);
 
-        /** A line for on-call staff. */
+        /** Logs a line for operators. */
         void log(String line);
     }
 
-    /** How a list of upstreams relates to what was known before. */
+    /** How an update of the list of upstreams relates to the previous state. */
     enum ListKind {
-        /** Only the entries that changed. */
+        /** The changed entries only. */
         DELTA,
-        /** Everything; an upstream that is not in it is gone. */
+        /** The full list; an upstream that is missing from it is gone. */
         FULL,
-        /** Everything, as this sidecar last had it before it was restarted; perhaps old. */
+        /** The full list as stored before this sidecar restarted; may be outdated. */
         CACHED,
-        /** A subscription or a fetch failed; what was known stands. */
+        /** A subscription or a fetch failed; the previous list remains valid. */
         FAILED
     }
 
-    /** What discovery says of an upstream. */
+    /** The status of an upstream in discovery. */
     enum Status {
         DRAINING,
         READY,
@@ -98,21 +98,21 @@
 
     /** How an attempt or a probe ended. */
     enum Outcome {
-        /** An error answer; it may have run. */
+        /** Answered with an error; may have been executed. */
         ERROR(false),
         /** Served. */
         OK(false),
-        /** Turned away unseen. */
+        /** Rejected by the upstream without being executed. */
         REJECTED(true),
-        /** No answer in time; it may have run, or may still. */
+        /** No answer in time; may have been executed, or may still be. */
         TIMEOUT(false),
         /** No connection could be made. */
         CONNECT_FAILED(true),
-        /** The connection broke; it may have run. */
+        /** The connection was lost; may have been executed. */
         RESET(false),
-        /** Called off by this sidecar; it may have run. */
+        /** Cancelled by this sidecar; may have been executed. */
         CANCELLED(false),
-        /** Never sent: the request was over, out of time or out of attempts. */
+        /** Never sent: the request had ended, or had no time or attempts left. */
         NOT_SENT(true);
 
         private final boolean provesNotRun;
@@ -121,30 +121,30 @@
             this.provesNotRun = provesNotRun;
         }
 
-        /** Whether the request is known not to have run in this attempt. */
+        /** Whether the request is known not to have been executed by this attempt. */
         public boolean provesNotRun() {
             return provesNotRun;
         }
     }
 
-    /** What a second run of a request would do. */
+    /** The effect of executing a request a second time. */
     enum Effect {
-        /** Nothing: safe to repeat. */
+        /** None: idempotent. */
         SAFE,
-        /** Dropped by upstreams of one group, for a while. */
+        /** None within the deduplication window of one group of upstreams. */
         KEYED,
-        /** Harm. */
+        /** Harmful: not idempotent. */
         UNSAFE
     }
 
-    /** The upstreams that drop the repeats of a {@link Effect#KEYED} request. */
+    /** The upstreams that deduplicate a {@link Effect#KEYED} request among each other. */
     enum Group {
         ALL,
         ZONE,
         CELL
     }
 
-    /** One upstream as discovery lists it; {@code startedMs} 0 means long ago. */
+    /** An entry of the list of upstreams; {@code startedMs} is 0 if the upstream started long ago. */
     record Upstream(int id, Status status, double startedMs, int zone, int kind, int cell, double weight) {
         /** Rejects a missing status and a negative weight. */
         public Upstream {
@@ -154,18 +154,18 @@
     }
 
     /**
-     * One request; {@code tenant} is meaningless where {@link Settings#tenants} is empty. {@code costMs} is a rough
-     * hint of its work as time on a standard core, 0 where there is none.
+     * One request; {@code tenant} is undefined if {@link Settings#tenants} is empty. {@code costMs} is a rough estimate
+     * of its CPU time on a standard core, or 0 if there is none.
      */
     record Request(int id, int requestClass, int tenant, double timeoutMs, boolean repeat, double costMs) {
-        /** Rejects a timeout that is not a number and a negative cost hint. */
+        /** Rejects a NaN timeout and a negative cost estimate. */
         public Request {
-            require(!Double.isNaN(timeoutMs), "time-out of a request must be a number");
-            require(costMs >= 0, "cost hint of a request must not be negative");
+            require(!Double.isNaN(timeoutMs), "timeout of a request must be a number");
+            require(costMs >= 0, "cost estimate of a request must not be negative");
         }
     }
 
-    /** The end of one attempt; {@code requestDone} where the client has its final answer. */
+    /** The end of one attempt; {@code requestDone} is true if the client has its final answer. */
     record AttemptEnd(
             int request,
             int attempt,
@@ -181,7 +181,7 @@
         }
     }
 
-    /** A class of requests; {@code lateWorth} is the part of its worth that an answer after the aim still has. */
+    /** A class of requests; {@code lateWorth} is the fraction of its worth that an answer after the aim retains. */
     record RequestClass(
             String name,
             double aimMs,
@@ -192,7 +192,7 @@
             Group group,
             double windowMs,
             boolean streamed) {
-        /** Rejects missing values, times that are not positive and negative worths. */
+        /** Rejects missing values, non-positive times and negative worths. */
         public RequestClass {
             Objects.requireNonNull(effect, "effect");
             Objects.requireNonNull(group, "group");
@@ -201,36 +201,38 @@
         }
     }
 
-    /** Who shares the service, and up to which rate over all sidecars at full worth. */
+    /** A tenant of the service; up to its quota, over all sidecars, its requests have their full worth. */
     record Tenant(String name, double portion, double quotaPerS) {
         /** Rejects a negative portion or quota. */
         public Tenant {
-            require(portion >= 0 && quotaPerS >= 0, "share of a tenant must not be negative");
+            require(portion >= 0 && quotaPerS >= 0, "portion and quota of a tenant must not be negative");
         }
     }
 
-    /** What the sidecar is allowed. */
+    /** The operations that the sidecar may use, and their limits. */
     record Limits(int maxAttempts, boolean secondCopies, boolean cancel, boolean probes, double maxRetryAfterMs) {
         /** Rejects a limit below one attempt. */
         public Limits {
-            require(maxAttempts >= 1, "at least one attempt must be allowed");
+            require(maxAttempts >= 1, "maximum number of attempts must be at least 1");
         }
     }
 
-    /** How fast a started upstream becomes able, and how often an unsubscribed sidecar must ask for the list. */
+    /** The platform's contract: how upstreams warm up, and how often to fetch the list without a subscription. */
     record Contract(double coldFrom, double coldMs, double overloadFactor, double overloadMs, double askEveryMs) {
-        /** Rejects a cold share outside (0, 1], negative times and factors that are not positive. */
+        /** Rejects a cold capacity outside (0, 1], negative times and non-positive factors. */
         public Contract {
-            require(coldFrom > 0 && coldFrom <= 1, "cold share must be above 0 and at most 1");
+            require(coldFrom > 0 && coldFrom <= 1, "cold capacity of the contract must be above 0 and at most 1");
             require(coldMs >= 0 && overloadMs >= 0, "times of the contract must not be negative");
-            require(overloadFactor > 0 && askEveryMs > 0, "figures of the contract must be positive");
+            require(
+                    overloadFactor > 0 && askEveryMs > 0,
+                    "overload factor and list interval of the contract must be positive");
         }
     }
 
-    /** How service is judged: weights of the whole, of the worst class and of the worst tenant. */
+    /** The weights of the service goal: for all requests, for the worst class and for the worst tenant. */
     record Goal(double whole, double worstClass, double worstTenant) {}
 
-    /** All that a balancer is told at the start; {@code reportsOnProbe} where load is reported to probes alone. */
+    /** The settings of a balancer; {@code reportsOnProbe} is true if upstreams report load only to probes. */
     record Settings(
             List<RequestClass> classes,
             List<Tenant> tenants,
@@ -244,7 +246,7 @@
             Limits limits,
             Contract contract,
             Goal goal) {
-        /** Copies the lists; rejects missing values, an empty list of classes and a fleet without sidecars. */
+        /** Copies the lists; rejects missing values, an empty list of classes and fewer than one sidecar. */
         public Settings {
             classes = List.copyOf(classes);
             tenants = List.copyOf(tenants);
@@ -256,7 +258,7 @@
             require(sidecars >= 1, "at least one sidecar is needed");
         }
 
-        /** The requests that an upstream has in hand by its report, running or waiting; 0 where it does not tell. */
+        /** The number of requests active or waiting at an upstream by its load report; 0 if it has no such field. */
         double requestsIn(double[] report) {
             double requests = 0;
             for (int i = 0; i < report.length && i < reportFields.size(); i++) {
@@ -272,9 +274,9 @@
         }
     }
 
-    private static void require(boolean holds, String what) {
-        if (!holds) {
-            throw new IllegalArgumentException(what);
+    private static void require(boolean condition, String message) {
+        if (!condition) {
+            throw new IllegalArgumentException(message);
         }
     }
 }
--- a/sidecar/src/main/java/gradehub/Call.java
+++ b/sidecar/src/main/java/gradehub/Call.java
@@ -3,28 +3,28 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What {@link LoadShiftingBalancer} remembers of one request in hand. */
+/** The state of one request until it is answered and each of its attempts has ended. */
 final class Call {
 
-    static final int MAX_PROBES = 6; // upstreams probed for their load for one request
-    private static final double WAIT_PART = 0.6; // of the time left, that a request may take by a report
+    static final int MAX_PROBES = 6; // for one request
+    private static final double MAX_LATENCY_PART = 0.6; // of the time left, by the load report
 
     final int id;
     final ClassStats stats;
-    final double value; // what an answer is worth where not all can be served
-    final long arrival; // sequence number
+    final double value; // of an answer: sets the priority under overload
+    final long arrival; // sequence number of the request
     final double aimDeadlineMs;
     final double deadlineMs;
     final double costMs;
     final List<Attempt> attempts = new ArrayList<>(2);
     int inFlight;
-    int probes; // upstreams probed for their load on behalf of this request
-    UpstreamState probedUpstream; // the one probed now, or null
-    double probedMs; // since when
+    int probes; // sent before dispatch to learn an upstream's load
+    UpstreamState probedUpstream; // by the latest probe, or null
+    double probedMs; // time of that probe
     boolean done;
     boolean served;
     boolean streaming;
-    double firstArrivalMs; // when its client's first try came
+    double firstArrivalMs; // arrival of the client's first try
 
     Call(
             Balancer.Request request,
@@ -42,15 +42,15 @@
         this.costMs = request.costMs();
     }
 
-    /** Its worth over the time for which it is likely to hold its client's connection. */
+    /** The value per millisecond for which the request is expected to occupy a client connection. */
     double valuePerMs() {
         return value / stats.medianMs;
     }
 
-    /** Whether it would miss its aim there by the latest report; after some probes more will do. */
+    /** Whether the latest load report predicts a missed aim; relaxed after half of the probes. */
     boolean wouldMissAim(double nowMs, UpstreamState upstream) {
         double latencyMs = upstream.load * stats.baselineMs() - (nowMs - upstream.loadUpdatedMs);
-        return latencyMs > (2 * probes > MAX_PROBES ? 1 : WAIT_PART) * (aimDeadlineMs - nowMs);
+        return latencyMs > (2 * probes > MAX_PROBES ? 1 : MAX_LATENCY_PART) * (aimDeadlineMs - nowMs);
     }
 
     void probe(UpstreamState upstream, double nowMs) {
@@ -59,7 +59,7 @@
         probedMs = nowMs;
     }
 
-    /** Notes an attempt that is sent now, for as long as its answer is of use. */
+    /** Records an attempt that is sent now and times out at the request's deadline. */
     void startAttempt(UpstreamState upstream, double nowMs) {
         Attempt attempt = new Attempt(this, upstream, nowMs, deadlineMs - nowMs);
         attempts.add(attempt);
--- a/sidecar/src/main/java/gradehub/ClassStats.java
+++ b/sidecar/src/main/java/gradehub/ClassStats.java
@@ -1,31 +1,31 @@
 package gradehub;
 
-/** What {@link LoadShiftingBalancer} has seen of one class of requests. */
+/** Statistics of one class of requests. */
 final class ClassStats {
 
-    static final double SMOOTHING = 32; // values over which a mean is smoothed
-    private static final double FIRST_TYPICAL = 8; // typical latencies in an aim, before any answer is known
-    private static final double MEDIAN_STEP = 0.02; // what one answer moves a running median
-    private static final double TAIL_STEP = 0.25; // what one answer moves the running tail of latencies
-    private static final double TAIL_PART = 0.03; // of the answers, that are slower than the tail
-    static final double DRIFT = 0.005; // of the quiet latency in a tick: machines change
-    private static final double DRIFT_STARVED = 0.05; // the same, where even single attempts are slow
-    private static final double KEPT = 0.98; // of what was offered and served, from tick to tick
+    static final double SMOOTHING = 32; // window of a moving average, in samples
+    private static final double AIM_PER_MEDIAN = 8; // aim / median latency, before any answer is known
+    private static final double MEDIAN_STEP = 0.02; // relative step of the running median for an answer
+    private static final double TAIL_STEP = 0.25; // relative step of the running tail latency for an answer
+    private static final double TAIL_PART = 0.03; // fraction of answers slower than the tail latency
+    static final double DRIFT = 0.005; // rise of the baseline in a tick, since machines change
+    private static final double DRIFT_STARVED = 0.05; // the same while even single attempts are slow
+    private static final double DECAY = 0.98; // of the offered and served counts, in a tick
 
     final Balancer.RequestClass spec;
-    double medianMs; // the running median of latencies
-    double baselineMs; // what it was when the upstreams were quiet; 0 until that is known
-    double tailRatio = 8; // the running tail of latencies, in typical ones
+    double medianMs; // running median latency
+    double baselineMs; // median latency without load; 0 while unknown
+    double tailRatio = 8; // running tail latency / median
     int answers;
-    double offered; // requests that came, older ones counting less
-    double served; // of them
-    private final double jitterMs; // of the patience that first tries state
-    private final MajorityVote patience = new MajorityVote(); // that most first tries state
-    final UnservedRequestHistory unservedRequests; // first tries whose clients may come again
+    double offered; // decaying count of requests received
+    double served; // decaying count of them that were served
+    private final double jitterMs; // tolerance for the timeouts of first tries
+    private final MajorityVote usualTimeout = new MajorityVote(); // of first tries
+    final UnservedRequestHistory unservedRequests; // first tries that clients may retry
 
     ClassStats(Balancer.RequestClass spec, double tickMs) {
         this.spec = spec;
-        medianMs = spec.aimMs() / FIRST_TYPICAL;
+        medianMs = spec.aimMs() / AIM_PER_MEDIAN;
         jitterMs = 2 * tickMs + spec.deadlineMs() / 500;
         unservedRequests = new UnservedRequestHistory(spec.deadlineMs(), jitterMs);
     }
@@ -38,35 +38,35 @@
     }
 
     void updateMedian(double latencyMs) {
-        double step = Math.max(MEDIAN_STEP, 1.0 / (2 + answers)); // the less, the more is known
+        double step = Math.max(MEDIAN_STEP, 1.0 / (2 + answers)); // smaller with more answers
         medianMs *= 1 + step * Math.signum(latencyMs - medianMs);
     }
 
     void tick(boolean starved) {
-        offered *= KEPT;
-        served *= KEPT;
+        offered *= DECAY;
+        served *= DECAY;
         baselineMs = answers < SMOOTHING ? 0 : floor(baselineMs(), medianMs, starved ? DRIFT_STARVED : DRIFT);
     }
 
-    /** The typical latency, until enough answers are known to tell what is quiet. */
+    /** The latency without load, or the median until there are enough answers to know it. */
     double baselineMs() {
         return baselineMs > 0 ? baselineMs : medianMs;
     }
 
-    /** A floor that follows lower values by halves (the least of noisy ones would sink), and forgets. */
-    static double floor(double floor, double value, double forget) {
-        return value < floor ? (floor + value) / 2 : floor * (1 + forget);
+    /** Moves a floor halfway to a lower value (a minimum would sink with noise), or up by the drift. */
+    static double floor(double floor, double value, double drift) {
+        return value < floor ? (floor + value) / 2 : floor * (1 + drift);
     }
 
     /**
-     * What has passed since the client's first try. First tries state the patience most often seen; a later
-     * one states what is left of its deadline, which tells when the first came. Where none came then that
-     * ended unserved, or it went unseen, this is a first try: an impatient crowd is no crowd of late repeats.
+     * The time since the client's first try. A first try has the most frequent timeout; a retry has the rest
+     * of its deadline as its timeout, which dates the first try. Without an unserved first try at that time
+     * this counts as a first try, so that clients with short timeouts are not all taken for late retries.
      */
     double elapsedMs(double nowMs, Balancer.Request request, boolean repeatsMarked) {
-        boolean usual = patience.count(request.timeoutMs(), jitterMs);
-        double goneMs = Math.max(0, spec.deadlineMs() - request.timeoutMs());
-        boolean first = repeatsMarked ? !request.repeat() : usual || !unservedRequests.remove(nowMs - goneMs);
-        return first ? 0 : goneMs;
+        boolean usual = usualTimeout.count(request.timeoutMs(), jitterMs);
+        double usedMs = Math.max(0, spec.deadlineMs() - request.timeoutMs());
+        boolean first = repeatsMarked ? !request.repeat() : usual || !unservedRequests.remove(nowMs - usedMs);
+        return first ? 0 : usedMs;
     }
 }
--- a/sidecar/src/main/java/gradehub/LoadShiftingBalancer.java
+++ b/sidecar/src/main/java/gradehub/LoadShiftingBalancer.java
@@ -9,18 +9,18 @@
 import java.util.function.Predicate;
 
 /**
- * The decision module: load shifting by latency-equalising shares. Its interface (events, actions) is
- * {@code Balancer.java}. The ordinary path comes first, from {@link #request} to the draw in {@link #pick};
- * {@link #shareTick} moves the shares. Each departure has a class that tells what it guards against.
+ * Balances load by shifting each member's share until latencies are equal. The interface (events and actions)
+ * is {@code Balancer.java}. The normal path goes from {@link #request} to the draw in {@link #choose};
+ * {@link #updateShares} moves the shares. Each exception to it has a class that documents its failure mode.
  */
 public final class LoadShiftingBalancer implements Balancer {
 
-    static final double SHARE_TICK_MS = 1000; // many answers fall into it, and moved load shows within it
-    private static final double BARELY = 2; // typical latencies: a shorter time-out is no failure
-    private static final double REPEAT_WORTH = 0.1; // of a first try: the aim has run since that
+    static final double SHARE_TICK_MS = 1000; // enough for many answers and for a change of load to show
+    private static final double MIN_TIMEOUT = 2; // in median latencies; a shorter timeout is no failure
+    private static final double REPEAT_VALUE = 0.1; // relative to a first try, whose arrival started the aim
 
-    private static final double TICKS_IN_AIM = 16; // control ticks within the shortest aim
-    private static final int SUBSCRIBE_TIMER = 2; // any other is the control timer
+    private static final double TICKS_PER_AIM = 16; // control ticks in the shortest aim
+    private static final int SUBSCRIBE_TIMER = 2; // every other token is the control timer's
 
     private final Settings settings;
     private final Actions actions;
@@ -37,14 +37,14 @@
     private final List<UpstreamState> members;
     private final Map<Integer, Call> calls = new HashMap<>();
     private long received;
-    private final boolean probesLoad; // before it sends, where upstreams report load to probes alone
+    private final boolean probesBeforeSend; // before sending, where upstreams report load only to probes
     private final List<Call> awaitingProbe = new ArrayList<>();
     private boolean controlArmed;
     private boolean subscribeArmed;
     private int listFailures;
     private double nextShareTickMs;
 
-    /** A balancer whose draws follow from {@code seed}, and that acts through {@code actions} alone. */
+    /** Creates a balancer with random draws seeded by {@code seed}; it acts only through {@code actions}. */
     public LoadShiftingBalancer(Settings settings, long seed, Actions actions) {
         this.settings = settings;
         this.actions = actions;
@@ -54,8 +54,8 @@
         this.ejection = new OutlierEjection(actions);
         this.slowStart = new SlowStart(settings.contract());
         settings.classes().forEach(spec -> classes.add(new ClassStats(spec, settings.tickMs())));
-        probesLoad = settings.limits().probes() && settings.reportsOnProbe();
-        controlMs = Math.max(settings.tickMs(), settings.shortestAimMs() / TICKS_IN_AIM);
+        probesBeforeSend = settings.limits().probes() && settings.reportsOnProbe();
+        controlMs = Math.max(settings.tickMs(), settings.shortestAimMs() / TICKS_PER_AIM);
         admission = new AdmissionControl(settings.goal(), classes);
     }
 
@@ -72,10 +72,10 @@
         double elapsedMs = stats.elapsedMs(nowMs, request, settings.repeatsMarked());
         double answerMs = request.timeoutMs() - 2 * settings.tickMs();
         double aimMs = Math.min(answerMs, stats.spec.aimMs() - elapsedMs - 2 * settings.tickMs());
-        double usefulMs = stats.spec.lateWorth() == 0 ? aimMs : answerMs; // else what is late earns too
+        double validMs = stats.spec.lateWorth() == 0 ? aimMs : answerMs; // late answers may have value
         stats.offered++;
-        double value = admission.worth(stats) * (request.repeat() || elapsedMs > 0 ? REPEAT_WORTH : 1);
-        Call call = new Call(request, stats, value, received++, nowMs + aimMs, nowMs + usefulMs);
+        double value = admission.worth(stats) * (request.repeat() || elapsedMs > 0 ? REPEAT_VALUE : 1);
+        Call call = new Call(request, stats, value, received++, nowMs + aimMs, nowMs + validMs);
         call.firstArrivalMs = nowMs - elapsedMs;
         calls.put(call.id, call);
         slowStart.requested(call.costMs);
@@ -84,26 +84,26 @@
         Call displaced = admission.displaced(call, calls.size(), waiting);
         if (displaced != null) {
             waiting.remove(displaced);
-            giveUp(displaced);
+            answerUnserved(displaced);
         }
         if (displaced != call) {
-            place(nowMs, call);
+            dispatchOrQueue(nowMs, call);
         }
     }
 
-    private void place(double nowMs, Call call) {
+    private void dispatchOrQueue(double nowMs, Call call) {
         if (AdmissionControl.isTooLate(nowMs, call)
-                || call.attempts.isEmpty() && sparse() && admission.throttles(random.nextDouble())) {
-            giveUp(call);
+                || call.attempts.isEmpty() && isLowTraffic() && admission.throttles(random.nextDouble())) {
+            answerUnserved(call);
         } else if (!waiting.isEmpty() || !dispatch(nowMs, call)) {
             waiting.add(call);
-            shedder.shed(nowMs, controlMs).forEach(this::giveUp);
+            shedder.shed(nowMs, controlMs).forEach(this::answerUnserved);
         }
     }
 
     private boolean dispatch(double nowMs, Call call) {
-        UpstreamState upstream = pick(nowMs, call);
-        if (probesLoad
+        UpstreamState upstream = choose(nowMs, call);
+        if (probesBeforeSend
                 && upstream != null
                 && call.probes < Call.MAX_PROBES
                 && nowMs - upstream.loadUpdatedMs > settings.tickMs()) {
@@ -116,19 +116,19 @@
         return upstream != null;
     }
 
-    /** Draws a member in proportion to the shares; departures only take members out, never most as faulty. */
-    private UpstreamState pick(double nowMs, Call call) {
-        int faulty = 0;
+    /** Draws an eligible member in proportion to its share; ignores ejections of more than half of them. */
+    private UpstreamState choose(double nowMs, Call call) {
+        int ejected = 0;
         for (UpstreamState upstream : members) {
-            faulty += ejection.excludes(nowMs, upstream, call.stats) ? 1 : 0;
+            ejected += ejection.excludes(nowMs, upstream, call.stats) ? 1 : 0;
         }
-        boolean avoid = 2 * faulty <= members.size();
-        UpstreamState drawn = null; // each replaces the one before with its part of the sum so far
+        boolean avoidEjected = 2 * ejected <= members.size();
+        UpstreamState drawn = null; // weighted reservoir sampling in one pass
         double sum = 0;
         for (UpstreamState upstream : members) {
             boolean tried = call.attempts.size() < members.size() && call.hasTried(upstream);
-            boolean excluded = tried || avoid && ejection.excludes(nowMs, upstream, call.stats);
-            if (!excluded && fit(nowMs, call, upstream)) {
+            boolean excluded = tried || avoidEjected && ejection.excludes(nowMs, upstream, call.stats);
+            if (!excluded && eligible(nowMs, call, upstream)) {
                 double weight = upstream.share * slowStart.warmth(nowMs, upstream.listed);
                 sum += weight;
                 drawn = random.nextDouble() * sum < weight ? upstream : drawn;
@@ -137,15 +137,15 @@
         return drawn;
     }
 
-    private boolean fit(double nowMs, Call call, UpstreamState upstream) {
+    private boolean eligible(double nowMs, Call call, UpstreamState upstream) {
         double warmth = slowStart.warmth(nowMs, upstream.listed);
         return retries.allowsAt(nowMs, call, upstream)
                 && upstream.limit.admits(nowMs, upstream.inFlight, warmth)
-                && (warmth >= 1 || admitsCold(nowMs, call, upstream, warmth))
+                && (warmth >= 1 || admitsWarming(nowMs, call, upstream, warmth))
                 && !call.wouldMissAim(nowMs, upstream);
     }
 
-    private boolean admitsCold(double nowMs, Call call, UpstreamState upstream, double warmth) {
+    private boolean admitsWarming(double nowMs, Call call, UpstreamState upstream, double warmth) {
         double part = list.weightFraction(upstream);
         return call.attempts.isEmpty() && slowStart.admits(nowMs, upstream.slowStartBudget, warmth, part);
     }
@@ -158,10 +158,10 @@
         actions.send(call.id, upstream.id, call.deadlineMs - nowMs);
     }
 
-    private void shareTick(double nowMs) {
+    private void updateShares(double nowMs) {
         nextShareTickMs = nowMs + SHARE_TICK_MS;
         LoadShares.update(nowMs, members);
-        // Slow with single attempts: after a while that is taken for the servers' latency, not for a queue.
+        // If single attempts stay slow, the baseline latency rises: the servers are slow, there is no queue.
         boolean starved = shedder.hasShed() && members.stream().allMatch(member -> member.limit.isSingle());
         classes.forEach(stats -> stats.tick(starved));
         members.forEach(UpstreamState::tick);
@@ -182,20 +182,20 @@
             attempt.upstream.updateLoad(nowMs, 1 + settings.requestsIn(end.report()));
         }
         if (!call.streaming) {
-            learn(nowMs, attempt, end.outcome(), end.elapsedMs());
+            recordResult(nowMs, attempt, end.outcome(), end.elapsedMs());
         }
         if (end.requestDone() || call.done) {
             finish(call);
         } else if (call.inFlight == 0
                 && retries.allows(nowMs, call, settings.limits().maxAttempts())) {
-            place(nowMs, call);
+            dispatchOrQueue(nowMs, call);
         } else if (call.inFlight == 0) {
-            giveUp(call);
+            answerUnserved(call);
         }
-        serveWaiting(nowMs);
+        dispatchWaiting(nowMs);
     }
 
-    private void learn(double nowMs, Attempt attempt, Outcome how, double latencyMs) {
+    private void recordResult(double nowMs, Attempt attempt, Outcome how, double latencyMs) {
         UpstreamState upstream = attempt.upstream;
         ClassStats stats = attempt.call.stats;
         if (how == Outcome.OK) {
@@ -207,14 +207,14 @@
         } else if (how == Outcome.NOT_SENT || how == Outcome.CANCELLED && latencyMs < stats.medianMs) {
             return;
         } else if (how != Outcome.CANCELLED) {
-            // A failure counts at its time-out: else an upstream that fails at once would draw load.
+            // Counts a failure with its full timeout; else an upstream that fails fast would attract load.
             latencyMs = Math.max(latencyMs, attempt.timeoutMs);
             if (how == Outcome.TIMEOUT) {
-                stats.updateMedian(latencyMs); // else a jammed fleet, all time-outs, looks quiet
+                stats.updateMedian(latencyMs); // else an overloaded fleet with only timeouts looks idle
             }
-            // That a client has little patience says nothing against an upstream.
-            boolean impatient = how == Outcome.TIMEOUT && latencyMs < BARELY * stats.medianMs;
-            if (!impatient) {
+            // A client's short timeout is no evidence of a faulty upstream.
+            boolean shortTimeout = how == Outcome.TIMEOUT && latencyMs < MIN_TIMEOUT * stats.medianMs;
+            if (!shortTimeout) {
                 ejection.failed(nowMs, upstream, stats);
             }
         }
@@ -222,15 +222,15 @@
         upstream.latencyRatioSum += latencyMs / stats.medianMs;
         upstream.samples++;
         if (how != Outcome.RESET) {
-            // A broken connection says nothing of a queue: the share and the streak of failures answer to it.
-            guess(nowMs, upstream, latencyMs / stats.baselineMs());
+            // A reset does not indicate a queue; the share and the count of consecutive failures cover it.
+            estimateLoad(nowMs, upstream, latencyMs / stats.baselineMs());
             double minimum = Math.min(1, list.initialConcurrency() / 2);
             upstream.limit.adjust(
                     nowMs, upstream.inFlight, upstream.headroom(stats, latencyMs), minimum, stats.medianMs);
         }
     }
 
-    private void giveUp(Call call) {
+    private void answerUnserved(Call call) {
         if (retries.isRepeatHarmless(call)) {
             actions.refuse(call.id, settings.limits().maxRetryAfterMs());
         } else {
@@ -265,9 +265,9 @@
         if (started == null || started.outcome != null || call.streaming) {
             return;
         }
-        call.streaming = true; // it belongs to the client now: its length says nothing of the upstream
+        call.streaming = true; // its duration now depends on the client, not on the upstream
         started.upstream.attempts.remove(started);
-        learn(nowMs, started, Outcome.OK, elapsedMs);
+        recordResult(nowMs, started, Outcome.OK, elapsedMs);
         cancelOthers(call, started);
     }
 
@@ -281,8 +281,8 @@
         }
     }
 
-    private boolean sparse() {
-        return !probesLoad && list.initialConcurrency() < 1;
+    private boolean isLowTraffic() {
+        return !probesBeforeSend && list.initialConcurrency() < 1;
     }
 
     @Override
@@ -292,34 +292,34 @@
             ejection.answered(nowMs, probed, members.size());
             probed.updateLoad(nowMs, 1 + settings.requestsIn(report));
         } else if (probed != null) {
-            probed.updateLoad(nowMs, Double.MAX_VALUE); // until it has answered another probe
+            probed.updateLoad(nowMs, Double.MAX_VALUE); // until it answers a later probe
             ejection.eject(nowMs, probed, "a probe found it out of reach");
         }
-        resume(nowMs, call -> call.probedUpstream == probed);
+        resumeProbed(nowMs, call -> call.probedUpstream == probed);
     }
 
-    /** Without a report: many sidecars with few attempts see no queue but by what the latest attempt took. */
-    private void guess(double nowMs, UpstreamState upstream, double load) {
-        if (upstream.loadUpdatedMs < nowMs && sparse()) {
+    /** Estimates load from the latest attempt: at low traffic a sidecar has no other sign of a queue. */
+    private void estimateLoad(double nowMs, UpstreamState upstream, double load) {
+        if (upstream.loadUpdatedMs < nowMs && isLowTraffic()) {
             upstream.updateLoad(nowMs, load);
         }
     }
 
-    private void resume(double nowMs, Predicate<Call> due) {
+    private void resumeProbed(double nowMs, Predicate<Call> due) {
         List<Call> ready = awaitingProbe.stream().filter(due).toList();
         awaitingProbe.removeAll(ready);
         for (Call call : ready) {
             UpstreamState upstream = call.probedUpstream;
-            boolean heard = upstream.isReady() && nowMs - upstream.loadUpdatedMs <= settings.tickMs();
-            if (heard && !ejection.excludes(nowMs, upstream, call.stats) && fit(nowMs, call, upstream)) {
+            boolean fresh = upstream.isReady() && nowMs - upstream.loadUpdatedMs <= settings.tickMs();
+            if (fresh && !ejection.excludes(nowMs, upstream, call.stats) && eligible(nowMs, call, upstream)) {
                 send(nowMs, call, upstream);
             } else {
-                place(nowMs, call);
+                dispatchOrQueue(nowMs, call);
             }
         }
     }
 
-    private void serveWaiting(double nowMs) {
+    private void dispatchWaiting(double nowMs) {
         while (!waiting.isEmpty() && dispatch(nowMs, waiting.first())) {
             waiting.pollFirst();
         }
@@ -330,9 +330,9 @@
         admission.connections = requests;
     }
 
-    private void watchSilence(double nowMs) {
+    private void checkMembers(double nowMs) {
         for (UpstreamState upstream : members) {
-            if (probesLoad && upstream.probation.ejected && !upstream.probation.excludes(nowMs)) {
+            if (probesBeforeSend && upstream.probation.ejected && !upstream.probation.excludes(nowMs)) {
                 upstream.probation.tried(nowMs);
                 actions.probe(upstream.id);
             }
@@ -341,22 +341,22 @@
                 continue;
             }
             double ageMs = nowMs - oldest.sentMs;
-            guess(nowMs, upstream, Math.max(upstream.load, ageMs / oldest.call.stats.baselineMs()));
+            estimateLoad(nowMs, upstream, Math.max(upstream.load, ageMs / oldest.call.stats.baselineMs()));
             ejection.checkSilence(nowMs, upstream, oldest);
             if (upstream.probation.ejected && settings.limits().secondCopies() && waiting.isEmpty()) {
                 for (Attempt attempt : upstream.attempts) {
-                    copy(nowMs, attempt);
+                    sendSecondCopy(nowMs, attempt);
                 }
             }
         }
     }
 
-    /** A second copy of what is stuck at an ejected upstream: where class, budget and spare room allow it. */
-    private void copy(double nowMs, Attempt stuck) {
+    /** Sends a second copy of an attempt stuck at an ejected upstream if class, budget and capacity allow. */
+    private void sendSecondCopy(double nowMs, Attempt stuck) {
         Call call = stuck.call;
         boolean due = !call.done && call.inFlight == 1 && nowMs - stuck.sentMs > call.stats.medianMs;
         boolean allowed = due && retries.allows(nowMs, call, settings.limits().maxAttempts());
-        UpstreamState other = allowed ? pick(nowMs, call) : null;
+        UpstreamState other = allowed ? choose(nowMs, call) : null;
         if (other != null && other != stuck.upstream) {
             send(nowMs, call, other);
         }
@@ -376,12 +376,12 @@
             actions.subscribe(true);
         } else if (controlArmed) {
             controlArmed = false;
-            watchSilence(nowMs);
-            resume(nowMs, call -> nowMs - call.probedMs > controlMs);
-            serveWaiting(nowMs);
-            shedder.shed(nowMs, controlMs).forEach(this::giveUp);
+            checkMembers(nowMs);
+            resumeProbed(nowMs, call -> nowMs - call.probedMs > controlMs);
+            dispatchWaiting(nowMs);
+            shedder.shed(nowMs, controlMs).forEach(this::answerUnserved);
             if (nowMs >= nextShareTickMs) {
-                shareTick(nowMs);
+                updateShares(nowMs);
             }
             armControl();
         }
@@ -392,9 +392,9 @@
         if (kind != ListKind.FAILED) {
             listFailures = 0;
             list.apply(nowMs, kind, entries);
-            serveWaiting(nowMs);
+            dispatchWaiting(nowMs);
         } else if (!subscribeArmed) {
-            subscribeArmed = true; // ever later, at random times: many sidecars ask one service
+            subscribeArmed = true; // backoff with jitter: many sidecars use one service
             double longestMs = Math.min(ListTimes.PAUSE_MS, SHARE_TICK_MS / 4 * (1 << listFailures));
             listFailures = Math.min(5, listFailures + 1);
             actions.timer(longestMs * (1 + random.nextDouble()) / 2, SUBSCRIBE_TIMER);
--- a/sidecar/src/main/java/gradehub/MajorityVote.java
+++ b/sidecar/src/main/java/gradehub/MajorityVote.java
@@ -1,18 +1,18 @@
 package gradehub;
 
-/** The value that most of a run of votes give, kept in constant space. */
+/** The most frequent value of a stream in constant space (Boyer-Moore majority vote). */
 final class MajorityVote {
 
-    private double winner;
+    private double candidate;
     private int lead;
 
-    /** Counts one vote, and tells whether it is for the value then in the lead, but for {@code tolerance}. */
+    /** Counts one vote; returns whether it is within {@code tolerance} of the resulting candidate. */
     boolean count(double vote, double tolerance) {
-        lead += Math.abs(vote - winner) <= tolerance ? 1 : -1;
+        lead += Math.abs(vote - candidate) <= tolerance ? 1 : -1;
         if (lead <= 0) {
-            winner = vote;
+            candidate = vote;
             lead = 1;
         }
-        return Math.abs(vote - winner) <= tolerance;
+        return Math.abs(vote - candidate) <= tolerance;
     }
 }
--- a/sidecar/src/main/java/gradehub/UnservedRequestHistory.java
+++ b/sidecar/src/main/java/gradehub/UnservedRequestHistory.java
@@ -2,34 +2,34 @@
 
 import java.util.Arrays;
 
-/** When those came first whose tries ended unserved, while they may come again; in constant space. */
+/** Arrival times of unserved requests while clients may retry them, as counts per time slot in a ring. */
 final class UnservedRequestHistory {
 
     private final double slotMs;
     private final long[] slots;
-    private final int[] tries;
+    private final int[] counts;
 
-    UnservedRequestHistory(double lastMs, double toleranceMs) {
+    UnservedRequestHistory(double retentionMs, double toleranceMs) {
         slotMs = toleranceMs;
-        slots = new long[(int) Math.ceil(lastMs / slotMs) + 2];
-        tries = new int[slots.length];
+        slots = new long[(int) Math.ceil(retentionMs / slotMs) + 2];
+        counts = new int[slots.length];
         Arrays.fill(slots, Long.MIN_VALUE);
     }
 
-    void add(double cameMs) {
-        long slot = (long) Math.floor(cameMs / slotMs);
-        int place = Math.floorMod(slot, slots.length);
-        tries[place] = slots[place] == slot ? tries[place] + 1 : 1;
-        slots[place] = slot;
+    void add(double arrivalMs) {
+        long slot = (long) Math.floor(arrivalMs / slotMs);
+        int index = Math.floorMod(slot, slots.length);
+        counts[index] = slots[index] == slot ? counts[index] + 1 : 1;
+        slots[index] = slot;
     }
 
-    /** Whether one came about then; it is used up. */
-    boolean remove(double cameMs) {
-        long slot = (long) Math.floor(cameMs / slotMs);
+    /** Removes one request that arrived at about this time; false if there is none. */
+    boolean remove(double arrivalMs) {
+        long slot = (long) Math.floor(arrivalMs / slotMs);
         for (long near = slot - 1; near <= slot + 1; near++) {
-            int place = Math.floorMod(near, slots.length);
-            if (slots[place] == near && tries[place] > 0) {
-                tries[place]--;
+            int index = Math.floorMod(near, slots.length);
+            if (slots[index] == near && counts[index] > 0) {
+                counts[index]--;
                 return true;
             }
         }
--- a/sidecar/src/main/java/gradehub/UpstreamList.java
+++ b/sidecar/src/main/java/gradehub/UpstreamList.java
@@ -7,12 +7,12 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 
-/** The upstreams that discovery has named, in the order in which they came, and the subset drawn from. */
+/** The upstreams known from discovery, in order of arrival, and the subset from which requests are served. */
 final class UpstreamList {
 
-    private static final int SUBSET = 10; // members: the design's "about ten"
-    private static final int COVER = 8; // sidecars that hold an upstream, at least: fewer cover unevenly
-    private static final double FIRST_IN_FLIGHT = 8; // attempts of all sidecars at an upstream not known yet
+    private static final int MIN_SUBSET = 10; // members; the design asks for "about ten"
+    private static final int MIN_SIDECARS = 8; // per upstream; fewer spread the load unevenly
+    private static final double INITIAL_CONCURRENCY = 8; // of all sidecars at a new upstream
 
     private final int sidecars;
     private final SplittableRandom random;
@@ -25,7 +25,7 @@
         this.random = random;
     }
 
-    /** Takes over what discovery says; an upstream that has restarted begins anew. */
+    /** Applies an update from discovery; the state of an upstream that has restarted is reset. */
     void apply(double nowMs, Balancer.ListKind kind, List<Balancer.Upstream> entries) {
         if (kind != Balancer.ListKind.DELTA) {
             upstreams.forEach(UpstreamList::markGone);
@@ -53,7 +53,7 @@
         return byId.get(id);
     }
 
-    /** A member that drains or is gone gives way to a random ready upstream, at the mean share. */
+    /** Fills free places of the subset with random ready upstreams, each at the mean share by weight. */
     private void fillSubset(double nowMs) {
         List<UpstreamState> candidates = new ArrayList<>(upstreams);
         candidates.removeIf(upstream -> !upstream.isReady() || members.contains(upstream));
@@ -64,7 +64,7 @@
         while (!candidates.isEmpty()) {
             UpstreamState upstream = candidates.remove(random.nextInt(candidates.size()));
             boolean full = members.size() >= subsetSize();
-            // A new upstream takes a member's place as often as an even cover of the fleet asks for.
+            // A new upstream replaces a member with the probability that keeps coverage of the fleet even.
             if (full && !upstream.consideredForSubset && random.nextInt(upstreams.size()) < members.size()) {
                 members.remove(random.nextInt(members.size()));
                 full = false;
@@ -72,7 +72,7 @@
             if (!full) {
                 upstream.limit.start(initialConcurrency());
                 upstream.share = (upstream.listed.weight() + Double.MIN_NORMAL) / (weights > 0 ? weights : 1);
-                // Not one at once from each of many sidecars.
+                // Random, so that many sidecars do not all send their first attempt at once.
                 upstream.slowStartBudget.start(nowMs, random.nextDouble());
                 members.add(upstream);
             }
@@ -82,13 +82,13 @@
     }
 
     private double subsetSize() {
-        return Math.max(SUBSET, (double) COVER * upstreams.size() / sidecars);
+        return Math.max(MIN_SUBSET, (double) MIN_SIDECARS * upstreams.size() / sidecars);
     }
 
-    /** This sidecar's part of the attempts that an upstream not known yet may have, as if all were alike. */
+    /** This sidecar's part of the initial concurrency of an upstream, as if all sidecars were alike. */
     double initialConcurrency() {
         double fleet = upstreams.size();
-        return FIRST_IN_FLIGHT * fleet / (sidecars * Math.min(subsetSize(), fleet));
+        return INITIAL_CONCURRENCY * fleet / (sidecars * Math.min(subsetSize(), fleet));
     }
 
     double weightFraction(UpstreamState upstream) {
--- a/sidecar/src/main/java/gradehub/UpstreamState.java
+++ b/sidecar/src/main/java/gradehub/UpstreamState.java
@@ -4,29 +4,29 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** What {@link LoadShiftingBalancer} remembers of one upstream since its latest start. */
+/** The state of one upstream since its latest start. */
 final class UpstreamState {
 
-    private static final double CROWDED = 1.3; // quiet latencies that an answer of a crowded upstream takes
+    private static final double OVERLOADED = 1.3; // latency of an overloaded upstream, in baseline latencies
 
     final int id;
-    Balancer.Upstream listed; // what discovery said last
-    boolean consideredForSubset; // whether it was a candidate for the subset before
-    double share; // its part of the draw
-    double latencyRatioSum; // over typical latencies: this tick's samples, and earlier ones if few
+    Balancer.Upstream listed; // latest entry from discovery
+    boolean consideredForSubset; // has been a candidate for the subset
+    double share; // probability of being drawn
+    double latencyRatioSum; // latency / median: samples of this tick, and decayed older ones if few
     double samples;
-    double meanLatencyRatio; // the mean of them at the last tick
-    double confidence; // how far that mean can be trusted, from 0 to 1
-    double smoothedRatio = 1; // latency over the quiet one of its class, smoothed
-    double baselineRatio = 1; // the same when this upstream is quiet itself
+    double meanLatencyRatio; // mean of the samples at the last tick
+    double confidence; // in that mean, from 0 to 1
+    double smoothedRatio = 1; // latency / baseline of its class, smoothed
+    double baselineRatio = 1; // the same ratio while this upstream is not loaded
     final ConcurrencyLimit limit = new ConcurrencyLimit();
     int inFlight;
-    final ArrayDeque<Attempt> attempts = new ArrayDeque<>(); // in flight, oldest first, without streams
+    final ArrayDeque<Attempt> attempts = new ArrayDeque<>(); // in flight, oldest first, except streams
     double lastAnswerMs;
-    double load; // quiet latencies that a request sent at the latest report would take
+    double load; // latency expected at the latest report, in baseline latencies
     double loadUpdatedMs = Double.NEGATIVE_INFINITY;
-    final Probation probation = new Probation(); // of it as a whole
-    private final Map<ClassStats, Probation> classProbation = new HashMap<>(); // of classes sent to it
+    final Probation probation = new Probation(); // for all classes
+    private final Map<ClassStats, Probation> classProbation = new HashMap<>(); // for one class each
     final TokenBucket slowStartBudget = new TokenBucket();
 
     UpstreamState(Balancer.Upstream listed) {
@@ -38,9 +38,9 @@
         return classProbation.computeIfAbsent(stats, unused -> new Probation());
     }
 
-    /** By which part a latency is under that of a crowded upstream; negative where it is over it. */
+    /** The relative margin of a latency below that of an overloaded upstream; negative if above. */
     double headroom(ClassStats stats, double latencyMs) {
-        return CROWDED * stats.baselineMs() * baselineRatio / latencyMs - 1;
+        return OVERLOADED * stats.baselineMs() * baselineRatio / latencyMs - 1;
     }
 
     void recordLatencyRatio(double latencyRatio) {
--- a/sidecar/src/main/java/gradehub/package-info.java
+++ b/sidecar/src/main/java/gradehub/package-info.java
@@ -1,8 +1,8 @@
 /**
- * The decision module: which upstream gets each request, and when a request is retried or refused.
+ * Load balancing decisions: which upstream gets each request, and when a request is retried or refused.
  *
  * <p>{@link gradehub.Balancer} is the interface that callers use, {@link gradehub.LoadShiftingBalancer} its
- * implementation. The classes of this package do no input or output and keep no clock of their own: the caller passes
- * in events with their time and implements {@link gradehub.Balancer.Actions}.
+ * implementation. The classes of this package do no I/O and read no clock: the caller passes timestamped events and
+ * implements {@link gradehub.Balancer.Actions}.
  */
 package gradehub;
