--- a/sidecar/src/test/java/gradehub/ClassStatsTest.java
+++ b/sidecar/src/test/java/gradehub/ClassStatsTest.java
@@ -10,7 +10,7 @@
 
 class ClassStatsTest {
 
-    private static final double DEADLINE_MS = 4000; // by TestSettings, as is an aim of 1000
+    private static final double DEADLINE_MS = 4000; // set in TestSettings, as is the aim of 1000
     private static final double DRIFT = 0.005;
     private static final double DRIFT_STARVED = 0.05;
 
@@ -21,47 +21,47 @@
         return stats.elapsedMs(nowMs, new Balancer.Request(1, 0, 0, timeoutMs, repeat, 0), repeatsMarked);
     }
 
-    private void answers(int count, double latencyMs) {
+    private void recordAnswers(int count, double latencyMs) {
         for (int i = 0; i < count; i++) {
             stats.recordAnswer(latencyMs);
         }
     }
 
     @Test
-    void theTypicalLatencyIsAnEighthOfTheAimUntilAnswersTell() {
+    void medianLatencyIsAnEighthOfTheAimBeforeTheFirstAnswer() {
         assertEquals(125, stats.medianMs);
         assertEquals(125, stats.baselineMs());
-        answers(200, 40);
+        recordAnswers(200, 40);
         assertEquals(40, stats.medianMs, 1);
     }
 
     @Test
-    void theTypicalLatencyIsTheMedianAndTheTailLiesOverMostAnswers() {
+    void tracksTheMedianAndTheTailLatency() {
         Random random = new Random(1);
-        int slower = 0;
-        int beyondTail = 0;
+        int aboveMedian = 0;
+        int aboveTail = 0;
         for (int i = 0; i < 20_000; i++) {
             double latencyMs = 50 * Math.exp(random.nextGaussian());
             if (i >= 1000) {
-                slower += latencyMs > stats.medianMs ? 1 : 0;
-                beyondTail += latencyMs > stats.tailRatio * stats.medianMs ? 1 : 0;
+                aboveMedian += latencyMs > stats.medianMs ? 1 : 0;
+                aboveTail += latencyMs > stats.tailRatio * stats.medianMs ? 1 : 0;
             }
             stats.recordAnswer(latencyMs);
         }
-        assertEquals(0.5, slower / 19_000.0, 0.02);
-        assertEquals(0.03, beyondTail / 19_000.0, 0.015);
+        assertEquals(0.5, aboveMedian / 19_000.0, 0.02);
+        assertEquals(0.03, aboveTail / 19_000.0, 0.015);
     }
 
     @Test
-    void theQuietLatencyIsKnownAfterEnoughAnswersAndForgetsSlowly() {
-        answers(31, 40);
+    void baselineLatencyNeedsEnoughAnswersAndDriftsUpSlowly() {
+        recordAnswers(31, 40);
         stats.tick(false);
         assertEquals(0, stats.baselineMs);
-        answers(200, 40);
+        recordAnswers(200, 40);
         stats.tick(false);
         double baselineMs = stats.baselineMs;
         assertEquals(40, baselineMs, 1);
-        answers(500, 400);
+        recordAnswers(500, 400);
         stats.tick(false);
         assertEquals(baselineMs * (1 + DRIFT), stats.baselineMs, 1e-9);
         assertTrue(stats.medianMs > 300);
@@ -70,7 +70,7 @@
     }
 
     @Test
-    void whatWasOfferedAndServedFades() {
+    void offeredAndServedCountsDecay() {
         stats.offered = 100;
         stats.served = 50;
         stats.tick(false);
@@ -79,20 +79,20 @@
     }
 
     @Test
-    void aMarkedRepeatTellsHowLongItsClientHasWaited() {
+    void elapsedTimeOfAMarkedRetryFollowsFromItsTimeout() {
         assertEquals(0, elapsedMs(10_000, 3000, false, true));
         assertEquals(1000, elapsedMs(10_000, 3000, true, true));
         assertEquals(0, elapsedMs(10_000, DEADLINE_MS + 1, true, true));
     }
 
     @Test
-    void anUnmarkedRepeatIsKnownByAFirstTryThatEndedUnserved() {
+    void unmarkedRetryIsRecognisedByAnUnservedFirstTry() {
         for (int i = 0; i < 5; i++) {
             assertEquals(0, elapsedMs(10_000, 2500, false, false));
         }
-        assertEquals(0, elapsedMs(11_000, 3000, false, false)); // none came 1,000 ms ago
+        assertEquals(0, elapsedMs(11_000, 3000, false, false)); // no unserved request arrived 1,000 ms ago
         stats.unservedRequests.add(10_000);
         assertEquals(1000, elapsedMs(11_000, 3000, false, false));
-        assertEquals(0, elapsedMs(11_000, 3000, false, false)); // that one has come again
+        assertEquals(0, elapsedMs(11_000, 3000, false, false)); // each unserved request matches one retry
     }
 }
--- a/sidecar/src/test/java/gradehub/UpstreamListTest.java
+++ b/sidecar/src/test/java/gradehub/UpstreamListTest.java
@@ -17,7 +17,7 @@
 
 class UpstreamListTest {
 
-    private static final double EXACT = 1e-9;
+    private static final double TOLERANCE = 1e-9;
 
     private static UpstreamList list(int sidecars, int upstreams) {
         UpstreamList list = new UpstreamList(sidecars, new SplittableRandom(3));
@@ -38,43 +38,43 @@
     }
 
     @Test
-    void ofFewUpstreamsAllAreMembersWithEqualShares() {
+    void allOfFewUpstreamsAreMembersWithEqualShares() {
         UpstreamList list = list(100, 4);
         assertEquals(4, list.members.size());
         for (UpstreamState member : list.members) {
-            assertEquals(0.25, member.share, EXACT);
+            assertEquals(0.25, member.share, TOLERANCE);
         }
     }
 
     @Test
-    void ofManyAboutTenAreMembersOrMoreWhereSidecarsAreFew() {
+    void subsetHasTenMembersOrMoreIfSidecarsAreFew() {
         assertEquals(10, list(1000, 100).members.size());
-        assertEquals(16, list(50, 100).members.size()); // so that eight sidecars hold each upstream
+        assertEquals(16, list(50, 100).members.size()); // so that each upstream is in the subsets of eight sidecars
     }
 
     @Test
-    void aMemberThatDrainsGivesWayAtTheMeanShare() {
+    void drainingMemberIsReplacedAtTheMeanShare() {
         UpstreamList list = list(1000, 11);
         UpstreamState drained = list.members.get(0);
         change(list, drained.id, Status.DRAINING, 0);
         assertEquals(10, list.members.size());
         assertFalse(list.members.contains(drained));
-        assertEquals(0.1, list.members.get(9).share, EXACT);
-        assertEquals(1, sumOfShares(list), EXACT);
+        assertEquals(0.1, list.members.get(9).share, TOLERANCE);
+        assertEquals(1, sumOfShares(list), TOLERANCE);
     }
 
     @Test
-    void whatAFullListLeavesOutIsGone() {
+    void upstreamMissingFromAFullListIsRemoved() {
         UpstreamList list = list(1, 3);
         list.apply(0, ListKind.FULL, List.of(FakeSidecar.upstream(2, Status.READY, 0)));
         assertEquals(1, list.members.size());
         assertNull(list.find(1));
         assertSame(list.members.get(0), list.find(2));
-        assertEquals(1, sumOfShares(list), EXACT);
+        assertEquals(1, sumOfShares(list), TOLERANCE);
     }
 
     @Test
-    void anUpstreamThatHasRestartedBeginsAnew() {
+    void restartedUpstreamHasNewState() {
         UpstreamList list = list(1, 3);
         UpstreamState before = list.find(2);
         change(list, 2, Status.READY, 500);
@@ -87,8 +87,8 @@
     }
 
     @Test
-    void aNewUpstreamTakesAMembersPlaceAsOftenAsAnEvenCoverAsksFor() {
-        int taken = 0;
+    void newUpstreamReplacesAMemberWithTheProbabilityForEvenCoverage() {
+        int replaced = 0;
         for (int seed = 0; seed < 2000; seed++) {
             UpstreamList list = new UpstreamList(1000, new SplittableRandom(seed));
             list.apply(0, ListKind.FULL, List.of());
@@ -98,23 +98,26 @@
             }
             list.apply(0, ListKind.FULL, entries);
             change(list, 40, Status.READY, 0);
-            taken += list.members.contains(list.find(40)) ? 1 : 0;
+            replaced += list.members.contains(list.find(40)) ? 1 : 0;
         }
-        assertEquals(0.25, taken / 2000.0, 0.03); // ten of forty
+        assertEquals(0.25, replaced / 2000.0, 0.03); // 10 of 40
     }
 
     @Test
-    void theFirstAttemptsAtAnUpstreamAreSharedByTheSidecarsThatHoldIt() {
-        assertEquals(8, list(1, 4).initialConcurrency(), EXACT);
-        assertEquals(2, list(4, 4).initialConcurrency(), EXACT);
-        assertEquals(0.08, list(1000, 100).initialConcurrency(), EXACT); // each is held by 100 of the 1,000
+    void initialConcurrencyIsDividedAmongTheSidecarsOfAnUpstream() {
+        assertEquals(8, list(1, 4).initialConcurrency(), TOLERANCE);
+        assertEquals(2, list(4, 4).initialConcurrency(), TOLERANCE);
+        assertEquals(
+                0.08,
+                list(1000, 100).initialConcurrency(),
+                TOLERANCE); // each is in the subsets of 100 of the 1,000 sidecars
     }
 
     @Test
-    void thePartOfTheWeightIsThatAmongTheMembers() {
+    void weightFractionIsRelativeToTheMembers() {
         UpstreamList list = list(1, 4);
-        assertEquals(0.25, list.weightFraction(list.find(1)), EXACT);
+        assertEquals(0.25, list.weightFraction(list.find(1)), TOLERANCE);
         change(list, 1, Status.DRAINING, 0);
-        assertEquals(1 / 3.0, list.weightFraction(list.find(2)), EXACT);
+        assertEquals(1 / 3.0, list.weightFraction(list.find(2)), TOLERANCE);
     }
 }
