--- a/sidecar/src/main/java/gradehub/Call.java
+++ b/sidecar/src/main/java/gradehub/Call.java
@@ -7,7 +7,7 @@
 final class Call {
 
     static final int MAX_PROBES = 6; // for one request
-    private static final double MAX_LATENCY_PART = 0.6; // of the time left, by the load report
+    private static final double MAX_LATENCY_PART = 0.6; // of the time left, as predicted by the load report
 
     final int id;
     final ClassStats stats;
--- a/sidecar/src/main/java/gradehub/ClassStats.java
+++ b/sidecar/src/main/java/gradehub/ClassStats.java
@@ -3,12 +3,12 @@
 /** Statistics of one class of requests. */
 final class ClassStats {
 
-    static final double SMOOTHING = 32; // window of a moving average, in samples
+    static final double SMOOTHING = 32; // samples over which a moving average extends
     private static final double AIM_PER_MEDIAN = 8; // aim / median latency, before any answer is known
     private static final double MEDIAN_STEP = 0.02; // relative step of the running median for an answer
     private static final double TAIL_STEP = 0.25; // relative step of the running tail latency for an answer
     private static final double TAIL_PART = 0.03; // fraction of answers slower than the tail latency
-    static final double DRIFT = 0.005; // rise of the baseline in a tick, since machines change
+    static final double DRIFT = 0.005; // relative rise of the baseline in a tick: machines change
     private static final double DRIFT_STARVED = 0.05; // the same while even single attempts are slow
     private static final double DECAY = 0.98; // of the offered and served counts, in a tick
 
--- a/sidecar/src/main/java/gradehub/LoadShiftingBalancer.java
+++ b/sidecar/src/main/java/gradehub/LoadShiftingBalancer.java
@@ -11,7 +11,7 @@
 /**
  * Balances load by shifting each member's share until latencies are equal. The interface (events and actions)
  * is {@code Balancer.java}. The normal path goes from {@link #request} to the draw in {@link #choose};
- * {@link #updateShares} moves the shares. Each exception to it has a class that documents its failure mode.
+ * {@link #updateShares} moves the shares. Each exception to it has a class that names the failure it handles.
  */
 public final class LoadShiftingBalancer implements Balancer {
 
@@ -19,7 +19,7 @@
     private static final double MIN_TIMEOUT = 2; // in median latencies; a shorter timeout is no failure
     private static final double REPEAT_VALUE = 0.1; // relative to a first try, whose arrival started the aim
 
-    private static final double TICKS_PER_AIM = 16; // control ticks in the shortest aim
+    private static final double TICKS_PER_AIM = 16; // control ticks within the shortest aim
     private static final int SUBSCRIBE_TIMER = 2; // every other token is the control timer's
 
     private final Settings settings;
@@ -37,7 +37,7 @@
     private final List<UpstreamState> members;
     private final Map<Integer, Call> calls = new HashMap<>();
     private long received;
-    private final boolean probesBeforeSend; // before sending, where upstreams report load only to probes
+    private final boolean probesBeforeSend; // where upstreams report load only to probes
     private final List<Call> awaitingProbe = new ArrayList<>();
     private boolean controlArmed;
     private boolean subscribeArmed;
--- a/sidecar/src/main/java/gradehub/UpstreamState.java
+++ b/sidecar/src/main/java/gradehub/UpstreamState.java
@@ -12,7 +12,7 @@
     final int id;
     Balancer.Upstream listed; // latest entry from discovery
     boolean consideredForSubset; // has been a candidate for the subset
-    double share; // probability of being drawn
+    double share; // weight in the random draw
     double latencyRatioSum; // latency / median: samples of this tick, and decayed older ones if few
     double samples;
     double meanLatencyRatio; // mean of the samples at the last tick
@@ -26,7 +26,7 @@
     double load; // latency expected at the latest report, in baseline latencies
     double loadUpdatedMs = Double.NEGATIVE_INFINITY;
     final Probation probation = new Probation(); // for all classes
-    private final Map<ClassStats, Probation> classProbation = new HashMap<>(); // for one class each
+    private final Map<ClassStats, Probation> classProbation = new HashMap<>(); // for single classes
     final TokenBucket slowStartBudget = new TokenBucket();
 
     UpstreamState(Balancer.Upstream listed) {
