--- a/sidecar/src/main/java/gradehub/node/ClientConnection.java
+++ b/sidecar/src/main/java/gradehub/node/ClientConnection.java
@@ -40,7 +40,7 @@
     /** Requests in hand, beyond which no more is read. */
     private static final int MOST_OWED = 4;
 
-    private final LookingChannel channel;
+    private final ReadAheadChannel channel;
     private final ClientServer server;
     private final ArrayDeque<Owed> owed = new ArrayDeque<>();
     /** Since when the client has been silent, sending, or not reading, in this order of the fields; 0 where not. */
@@ -60,7 +60,7 @@
     /** Whether what was unread when the request was overdue has had its chance. */
     private boolean lookedAgain;
 
-    ClientConnection(LookingChannel channel, ClientServer server) {
+    ClientConnection(ReadAheadChannel channel, ClientServer server) {
         this.channel = channel;
         this.server = server;
     }
@@ -93,7 +93,7 @@
 
         @Override
         public boolean hasLeft() {
-            return channel.hasEnded();
+            return channel.isClosedByPeer();
         }
 
         private void answer(FullHttpResponse message) {
@@ -273,7 +273,7 @@
                 || carriesNothing()
                         && (restsSinceMs > 0 && nowMs - restsSinceMs > REST_MS
                                 || silent && nowMs - sendsSinceMs > SILENT_MS);
-        if (!canGo || !channel.isQuiet()) {
+        if (!canGo || !channel.isOpenWithoutInput()) {
             return false;
         }
         if (ending) {
@@ -308,7 +308,7 @@
 
     /** The clock alone does not tell: what came in time may lie unread for want of processor time. */
     private boolean isReadUp() {
-        boolean readUp = lookedAgain || channel.isQuiet();
+        boolean readUp = lookedAgain || channel.isOpenWithoutInput();
         lookedAgain = true;
         return readUp;
     }
@@ -316,7 +316,7 @@
     /** One on which a request has begun to come, or may be about to, is not idle: it ends with the answer to that. */
     void endIfIdle(double nowMs) {
         boolean begun = sendsSinceMs > 0 && (!silent || nowMs - sendsSinceMs <= SILENT_MS);
-        if (carriesNothing() && !begun && channel.isQuiet()) {
+        if (carriesNothing() && !begun && channel.isOpenWithoutInput()) {
             end();
         }
     }
--- a/sidecar/src/main/java/gradehub/node/ClientKeeper.java
+++ b/sidecar/src/main/java/gradehub/node/ClientKeeper.java
@@ -70,7 +70,7 @@
 
     /** Ends what is overdue. */
     void look() {
-        lag.beat();
+        lag.sample();
         double nowMs = clock.nowMs();
         all().forEach(connection -> connection.endIfOverdue(nowMs));
         makeRoom();
--- a/sidecar/src/main/java/gradehub/node/ClientListener.java
+++ b/sidecar/src/main/java/gradehub/node/ClientListener.java
@@ -25,7 +25,7 @@
     /** Accepted, but not set up yet because that failed. */
     private SocketChannel unprepared;
     /** From when it is registered with an event loop. */
-    private RegistrationWatch registrationWatch;
+    private RegistrationMonitor registrationMonitor;
     /** Whether it accepts though the selector has not told of a client. */
     private boolean untold;
     /** Whether a client was accepted though the selector had not told of one. */
@@ -41,7 +41,7 @@
     protected int doReadMessages(List<Object> accepted) {
         int before = accepted.size();
         if (!untold) {
-            registrationWatch.heard();
+            registrationMonitor.readReadinessReported();
         }
         try {
             accept(accepted, Math.max(1, room.getAsInt()));
@@ -55,16 +55,16 @@
 
     @Override
     protected void doRegister(ChannelPromise promise) {
-        registrationWatch = new RegistrationWatch(this, this::registration, this::check);
+        registrationMonitor = new RegistrationMonitor(this, this::registration, this::check);
         super.doRegister(promise);
     }
 
     @Override
     protected void doBeginRead() throws Exception {
-        boolean registers = !registrationWatch.wants(NioIoOps.ACCEPT);
+        boolean registers = !registrationMonitor.isInterestedIn(NioIoOps.ACCEPT);
         super.doBeginRead();
         if (registers) {
-            registrationWatch.changed();
+            registrationMonitor.registrationChanged();
         }
     }
 
@@ -78,7 +78,7 @@
             untold = false;
         }
         if (foundUntold) {
-            registrationWatch.renew("accepting");
+            registrationMonitor.renew("accepting");
         }
     }
 
@@ -93,7 +93,7 @@
             unprepared.configureBlocking(false);
             SocketChannel client = unprepared;
             unprepared = null;
-            accepted.add(new LookingChannel(this, client));
+            accepted.add(new ReadAheadChannel(this, client));
         }
     }
 
@@ -141,8 +141,8 @@
         if (unprepared != null) {
             unprepared.close();
         }
-        if (registrationWatch != null) {
-            registrationWatch.closed();
+        if (registrationMonitor != null) {
+            registrationMonitor.closed();
         }
         super.doClose();
     }
--- a/sidecar/src/main/java/gradehub/node/ClientServer.java
+++ b/sidecar/src/main/java/gradehub/node/ClientServer.java
@@ -67,7 +67,8 @@
                 .childHandler(new ChannelInitializer<SocketChannel>() {
                     @Override
                     protected void initChannel(SocketChannel channel) {
-                        ClientConnection connection = new ClientConnection((LookingChannel) channel, ClientServer.this);
+                        ClientConnection connection =
+                                new ClientConnection((ReadAheadChannel) channel, ClientServer.this);
                         channel.pipeline()
                                 .addLast(
                                         new RequestDecoder(connection),
--- a/sidecar/src/main/java/gradehub/node/Discovery.java
+++ b/sidecar/src/main/java/gradehub/node/Discovery.java
@@ -50,7 +50,7 @@
     private final boolean asked;
     private final double connectTimeoutMs;
     private final long longestPauseMs;
-    private final Supplier<LookingChannel> sockets;
+    private final Supplier<ReadAheadChannel> sockets;
     private final Engine engine;
     private final RateLimitedLog calls = new RateLimitedLog();
     /** The latest list from this address, or -1: another address may count in its own way. */
@@ -68,7 +68,7 @@
     private Call watch;
     private long pauseMs;
 
-    Discovery(EventLoop loop, Config config, Supplier<LookingChannel> sockets, Engine engine) {
+    Discovery(EventLoop loop, Config config, Supplier<ReadAheadChannel> sockets, Engine engine) {
         this.loop = loop;
         this.address = config.discovery();
         this.members = config.members();
@@ -192,7 +192,7 @@
         private final boolean watch;
         private final ListStream lists;
         private final InetSocketAddress target = address;
-        private final LookingChannel channel;
+        private final ReadAheadChannel channel;
         private final Runnable endTask = () -> ended(this); // made once: it would be linked while requests wait
         private long heardNanos = System.nanoTime();
         private boolean whole;
@@ -233,7 +233,7 @@
         }
 
         /** A socket for it, or none where that fails, as it does for want of descriptors. */
-        private LookingChannel opened() {
+        private ReadAheadChannel opened() {
             try {
                 return sockets.get();
             } catch (ChannelException e) {
@@ -266,7 +266,7 @@
 
         private void checkSilence() {
             long silentMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - heardNanos);
-            if (silentMs >= SILENCE_MS && channel.isQuiet()) {
+            if (silentMs >= SILENCE_MS && channel.isOpenWithoutInput()) {
                 close("silent for " + silentMs + " ms");
             } else if (channel.isOpen()) {
                 loop.schedule(this::checkSilence, Math.max(1, SILENCE_MS - silentMs), TimeUnit.MILLISECONDS);
--- a/sidecar/src/main/java/gradehub/node/Engine.java
+++ b/sidecar/src/main/java/gradehub/node/Engine.java
@@ -107,7 +107,7 @@
             Clock clock,
             Config config,
             SocketBudget sockets,
-            Supplier<LookingChannel> opened,
+            Supplier<ReadAheadChannel> opened,
             Function<Balancer.Actions, Balancer> module) {
         this.loop = loop;
         this.clock = clock;
--- a/sidecar/src/main/java/gradehub/node/EventLoopLag.java
+++ b/sidecar/src/main/java/gradehub/node/EventLoopLag.java
@@ -28,7 +28,7 @@
     }
 
     /** To be called each {@link #PERIOD_MS} by a task of the loop. */
-    void beat() {
+    void sample() {
         carriedMs = overdueMs();
         beatMs = clock.nowMs();
         if (carriedMs > 0) {
--- a/sidecar/src/main/java/gradehub/node/LookingChannel.java
+++ b/sidecar/src/main/java/gradehub/node/ReadAheadChannel.java
@@ -15,7 +15,7 @@
  * read by the event loop all the same, in its turn. Its configuration sets TCP_NODELAY where the system can; as an option
  * of a bootstrap, a failure to set it would close the connection.
  */
-final class LookingChannel extends NioSocketChannel {
+final class ReadAheadChannel extends NioSocketChannel {
 
     /** How far a look goes: what lies behind so much input, more than any request is, is not seen. */
     private static final int FURTHEST_BYTES = 1 << 17;
@@ -30,7 +30,7 @@
     private ByteBuf ahead;
     private boolean ended;
     /** From when it is registered with an event loop. */
-    private RegistrationWatch registrationWatch;
+    private RegistrationMonitor registrationMonitor;
     /** Whether it is being read though the selector has not told of input. */
     private boolean untold;
 
@@ -44,20 +44,20 @@
     private final Runnable readTask = this::readWhatIsAhead;
 
     /** For a connection that is to be opened. */
-    LookingChannel() {}
+    ReadAheadChannel() {}
 
     /** For one that has been accepted. */
-    LookingChannel(Channel parent, SocketChannel accepted) {
+    ReadAheadChannel(Channel parent, SocketChannel accepted) {
         super(parent, accepted);
     }
 
     /** Whether it is open with nothing to read. */
-    boolean isQuiet() {
-        return !hasEnded() && ahead == null;
+    boolean isOpenWithoutInput() {
+        return !isClosedByPeer() && ahead == null;
     }
 
     /** Whether the other side has closed it or broken it off; one that only sends nothing has not. */
-    boolean hasEnded() {
+    boolean isClosedByPeer() {
         if (isActive() && !ended) {
             look();
         }
@@ -120,7 +120,7 @@
 
     @Override
     protected void doRegister(ChannelPromise promise) {
-        registrationWatch = new RegistrationWatch(this, this::registration, this::check);
+        registrationMonitor = new RegistrationMonitor(this, this::registration, this::check);
         super.doRegister(promise);
     }
 
@@ -128,7 +128,7 @@
     protected boolean doConnect(SocketAddress remote, SocketAddress local) throws Exception {
         boolean connected = super.doConnect(remote, local);
         if (!connected) {
-            registrationWatch.changed();
+            registrationMonitor.registrationChanged();
         }
         return connected;
     }
@@ -151,8 +151,8 @@
     @Override
     protected void doWrite(ChannelOutboundBuffer output) throws Exception {
         super.doWrite(output);
-        if (registrationWatch.wants(NioIoOps.WRITE)) {
-            registrationWatch.changed();
+        if (registrationMonitor.isInterestedIn(NioIoOps.WRITE)) {
+            registrationMonitor.registrationChanged();
         }
     }
 
@@ -180,7 +180,7 @@
         }
         if (foundConnected || connectFailure != null) {
             unsafe().finishConnect();
-            registrationWatch.renew("connecting");
+            registrationMonitor.renew("connecting");
         }
     }
 
@@ -189,16 +189,16 @@
         long before = output.totalPendingWriteBytes();
         unsafe().forceFlush();
         if (output.totalPendingWriteBytes() < before) {
-            registrationWatch.renew("writing");
+            registrationMonitor.renew("writing");
         }
     }
 
     private void checkRead() {
-        if (isQuiet()) {
+        if (isOpenWithoutInput()) {
             return;
         }
         readUntold();
-        registrationWatch.renew("reading");
+        registrationMonitor.renew("reading");
     }
 
     /** Reads though the selector has not told of input. */
@@ -215,10 +215,10 @@
 
     @Override
     protected void doBeginRead() throws Exception {
-        boolean registers = !registrationWatch.wants(NioIoOps.READ);
+        boolean registers = !registrationMonitor.isInterestedIn(NioIoOps.READ);
         super.doBeginRead();
         if (registers) {
-            registrationWatch.changed();
+            registrationMonitor.registrationChanged();
         }
         if (ahead != null) {
             readAhead();
@@ -228,7 +228,7 @@
     @Override
     protected int doReadBytes(ByteBuf into) throws Exception {
         if (!untold) {
-            registrationWatch.heard();
+            registrationMonitor.readReadinessReported();
         }
         if (ahead == null) {
             int read = super.doReadBytes(into);
@@ -250,8 +250,8 @@
             ahead.release();
             ahead = null;
         }
-        if (registrationWatch != null) {
-            registrationWatch.closed();
+        if (registrationMonitor != null) {
+            registrationMonitor.closed();
         }
         super.doClose();
     }
--- a/sidecar/src/main/java/gradehub/node/RegistrationWatch.java
+++ b/sidecar/src/main/java/gradehub/node/RegistrationMonitor.java
@@ -12,7 +12,7 @@
  * system only of what differs from what it has told before, so a failed registration is repeated by taking the interest
  * back, for one turn of the event loop, and stating it again.
  */
-final class RegistrationWatch {
+final class RegistrationMonitor {
 
     /** What a channel does to find out whether the selector keeps something from it. */
     interface Check {
@@ -33,7 +33,7 @@
     private int withdrawn;
 
     /** For a channel that is being registered, on its event loop. */
-    RegistrationWatch(Channel channel, Supplier<IoRegistration> registration, Check check) {
+    RegistrationMonitor(Channel channel, Supplier<IoRegistration> registration, Check check) {
         this.channel = channel;
         this.registration = registration;
         this.check = check;
@@ -46,23 +46,23 @@
     }
 
     /** Whether the channel wants to be told of this. */
-    boolean wants(NioIoOps event) {
+    boolean isInterestedIn(NioIoOps event) {
         return event.isIncludedIn(interest());
     }
 
     /** What it wants to be told of has changed, and so has its registration. */
-    void changed() {
+    void registrationChanged() {
         heard = false;
-        registrations.doubt(this);
+        registrations.markUnconfirmed(this);
     }
 
     /** The selector has told that it can be read. */
-    void heard() {
+    void readReadinessReported() {
         heard = true;
     }
 
     /** That it can be read is proven by being told once; a connect or a write is told of only at its end. */
-    boolean isInDoubt() {
+    boolean isUnconfirmed() {
         int interest = interest();
         return NioIoOps.CONNECT.isIncludedIn(interest)
                 || NioIoOps.WRITE.isIncludedIn(interest)
@@ -72,7 +72,7 @@
 
     void check() {
         int interest = interest();
-        if (interest != 0 && isInDoubt()) {
+        if (interest != 0 && isUnconfirmed()) {
             check.run(NioIoOps.valueOf(interest));
         }
     }
@@ -96,7 +96,7 @@
         withdrawn = 0;
         if (isRegistered()) {
             registration.get().submit(NioIoOps.valueOf(interest() | wanted));
-            changed();
+            registrationChanged();
         }
     }
 
--- a/sidecar/src/main/java/gradehub/node/SelectorRegistrations.java
+++ b/sidecar/src/main/java/gradehub/node/SelectorRegistrations.java
@@ -23,8 +23,8 @@
         }
     };
 
-    private final Set<RegistrationWatch> registered = new HashSet<>();
-    private final Set<RegistrationWatch> doubtful = new HashSet<>();
+    private final Set<RegistrationMonitor> registered = new HashSet<>();
+    private final Set<RegistrationMonitor> doubtful = new HashSet<>();
     private final RateLimitedLog renewals = new RateLimitedLog();
     private final Runnable check = this::check;
     private EventLoop loop;
@@ -37,25 +37,25 @@
         return CURRENT.get();
     }
 
-    void add(RegistrationWatch watch, EventLoop loop) {
+    void add(RegistrationMonitor watch, EventLoop loop) {
         this.loop = loop;
         registered.add(watch);
     }
 
-    void remove(RegistrationWatch watch) {
+    void remove(RegistrationMonitor watch) {
         registered.remove(watch);
         doubtful.remove(watch);
     }
 
     /** Checks this channel from now on, until it is no longer in doubt. */
-    void doubt(RegistrationWatch watch) {
+    void markUnconfirmed(RegistrationMonitor watch) {
         doubtful.add(watch);
         schedule();
     }
 
     /** The event loop has a new selector, with which all channels are registered anew. */
     void selectorOpened() {
-        List.copyOf(registered).forEach(RegistrationWatch::changed);
+        List.copyOf(registered).forEach(RegistrationMonitor::registrationChanged);
     }
 
     /** A check has found something of which the selector has not told; it may have been about to. */
@@ -65,10 +65,10 @@
 
     private void check() {
         scheduled = false;
-        for (RegistrationWatch watch : List.copyOf(doubtful)) {
+        for (RegistrationMonitor watch : List.copyOf(doubtful)) {
             GuardedTask.run("checking a registration", watch::check);
         }
-        doubtful.removeIf(watch -> !watch.isInDoubt());
+        doubtful.removeIf(watch -> !watch.isUnconfirmed());
         if (!doubtful.isEmpty()) {
             schedule();
         }
--- a/sidecar/src/main/java/gradehub/node/Sidecar.java
+++ b/sidecar/src/main/java/gradehub/node/Sidecar.java
@@ -53,7 +53,7 @@
     /** How much longer the shutdown waits for connections without requests. */
     private long drainLeftMs;
 
-    private Sidecar(EventLoop loop, Config config, Supplier<LookingChannel> channelFactory) {
+    private Sidecar(EventLoop loop, Config config, Supplier<ReadAheadChannel> channelFactory) {
         this.loop = loop;
         SocketBudget sockets = new SocketBudget(config.sockets());
         Clock clock = new Clock();
@@ -126,11 +126,11 @@
 
     /** Creates a sidecar that does not listen yet. */
     static Sidecar create(Config config) {
-        return create(config, LookingChannel::new);
+        return create(config, ReadAheadChannel::new);
     }
 
     /** Creates a sidecar with a custom factory for the channels of outgoing connections. */
-    static Sidecar create(Config config, Supplier<LookingChannel> channelFactory) {
+    static Sidecar create(Config config, Supplier<ReadAheadChannel> channelFactory) {
         EventLoopGroup group =
                 new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory(new ObservedSelectorProvider()));
         EventLoop loop = group.next();
--- a/sidecar/src/main/java/gradehub/node/UpstreamConnection.java
+++ b/sidecar/src/main/java/gradehub/node/UpstreamConnection.java
@@ -54,7 +54,7 @@
 
     final Upstreams.Pool pool;
     private final Upstreams upstreams;
-    private final LookingChannel channel;
+    private final ReadAheadChannel channel;
     private final AnswerDecoder decoder = new AnswerDecoder();
     private Attempt attempt;
     /** Whether the first byte of the attempt may be out. */
@@ -70,7 +70,7 @@
     private int interim;
     private double idleSinceMs;
 
-    UpstreamConnection(Upstreams upstreams, Upstreams.Pool pool, LookingChannel channel) {
+    UpstreamConnection(Upstreams upstreams, Upstreams.Pool pool, ReadAheadChannel channel) {
         this.upstreams = upstreams;
         this.pool = pool;
         this.channel = channel;
@@ -281,7 +281,7 @@
     }
 
     boolean isQuiet() {
-        return channel.isQuiet();
+        return channel.isOpenWithoutInput();
     }
 
     void close() {
--- a/sidecar/src/main/java/gradehub/node/Upstreams.java
+++ b/sidecar/src/main/java/gradehub/node/Upstreams.java
@@ -92,7 +92,7 @@
     private final double connectTimeoutMs;
     private final double idleMs;
     private final SocketBudget sockets;
-    private final Supplier<LookingChannel> opened;
+    private final Supplier<ReadAheadChannel> opened;
     private final Listener listener;
     private final Map<Integer, Pool> pools = new HashMap<>();
     private final RateLimitedLog failures = new RateLimitedLog();
@@ -102,7 +102,7 @@
             Clock clock,
             Config config,
             SocketBudget sockets,
-            Supplier<LookingChannel> opened,
+            Supplier<ReadAheadChannel> opened,
             Listener listener) {
         this.loop = loop;
         this.clock = clock;
@@ -275,7 +275,7 @@
     }
 
     private void connect(Pool pool, Attempt attempt) {
-        LookingChannel socket;
+        ReadAheadChannel socket;
         try {
             socket = opened.get();
         } catch (ChannelException e) {
--- a/sidecar/src/test/java/gradehub/node/CloseDelimitedAnswerTest.java
+++ b/sidecar/src/test/java/gradehub/node/CloseDelimitedAnswerTest.java
@@ -80,7 +80,7 @@
     }
 
     private final ReadCounter counter = new ReadCounter();
-    private final List<LookingChannel> opened = new CopyOnWriteArrayList<>();
+    private final List<ReadAheadChannel> opened = new CopyOnWriteArrayList<>();
     private SidecarFixture fixture;
     private ServerSocket upstream;
 
@@ -98,14 +98,14 @@
         fixture.close();
     }
 
-    private LookingChannel counted() {
-        LookingChannel channel = with(counter);
+    private ReadAheadChannel counted() {
+        ReadAheadChannel channel = with(counter);
         opened.add(channel);
         return channel;
     }
 
-    private static LookingChannel with(ChannelHandler handler) {
-        LookingChannel channel = new LookingChannel();
+    private static ReadAheadChannel with(ChannelHandler handler) {
+        ReadAheadChannel channel = new ReadAheadChannel();
         channel.pipeline().addFirst(handler);
         return channel;
     }
@@ -162,12 +162,12 @@
     /** Looks, on the event loop, until the end of the upstream's connection has been seen. */
     private void lookForTheEnd() {
         long untilNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(RawConnection.TIMEOUT_MS);
-        LookingChannel channel = opened.stream()
-                .filter(LookingChannel::isActive)
+        ReadAheadChannel channel = opened.stream()
+                .filter(ReadAheadChannel::isActive)
                 .filter(active -> active.remoteAddress().getPort() == upstream.getLocalPort())
                 .findFirst()
                 .orElseThrow();
-        while (!channel.hasEnded()) {
+        while (!channel.isClosedByPeer()) {
             assertTrue(System.nanoTime() < untilNanos, "it never ended");
         }
     }
--- a/sidecar/src/test/java/gradehub/node/DescriptorTest.java
+++ b/sidecar/src/test/java/gradehub/node/DescriptorTest.java
@@ -29,11 +29,11 @@
         fixture.close();
     }
 
-    private LookingChannel opened() {
+    private ReadAheadChannel opened() {
         if (out.get()) {
             throw new ChannelException("Failed to open a socket.");
         }
-        return new LookingChannel();
+        return new ReadAheadChannel();
     }
 
     private String list() {
--- a/sidecar/src/test/java/gradehub/node/EngineTest.java
+++ b/sidecar/src/test/java/gradehub/node/EngineTest.java
@@ -38,8 +38,8 @@
     private Engine engine(Function<Balancer.Actions, Balancer> module) throws Exception {
         try (SidecarFixture fixture = new SidecarFixture()) {
             Config config = Config.parse(fixture.config(null));
-            return loop.submit(() ->
-                            new Engine(loop, new Clock(), config, new SocketBudget(1024), LookingChannel::new, module))
+            return loop.submit(() -> new Engine(
+                            loop, new Clock(), config, new SocketBudget(1024), ReadAheadChannel::new, module))
                     .get();
         }
     }
--- a/sidecar/src/test/java/gradehub/node/LastLookTest.java
+++ b/sidecar/src/test/java/gradehub/node/PreSendCheckTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 
 /** What has changed while a request waited is seen before its first byte goes out. */
-class LastLookTest {
+class PreSendCheckTest {
 
     private static final String READY = "GET /ready HTTP/1.1\r\n\r\n";
 
--- a/sidecar/src/test/java/gradehub/node/SidecarFixture.java
+++ b/sidecar/src/test/java/gradehub/node/SidecarFixture.java
@@ -108,7 +108,7 @@
     }
 
     /** Starts the sidecar with a custom factory for the channels of outgoing connections. */
-    SidecarFixture start(String known, Supplier<LookingChannel> channelFactory) throws Exception {
+    SidecarFixture start(String known, Supplier<ReadAheadChannel> channelFactory) throws Exception {
         Config config = Config.parse(config(known));
         sidecar = Sidecar.create(config, channelFactory);
         sidecar.listen(config);
