--- a/sidecar/src/main/java/gradehub/node/ClientConnection.java
+++ b/sidecar/src/main/java/gradehub/node/ClientConnection.java
@@ -105,7 +105,7 @@
         /** Its identifier may come again. */
         private void release() {
             if (id != null) {
-                server.ended(id);
+                server.releaseId(id);
             }
             id = null;
         }
@@ -123,7 +123,7 @@
         openedMs = server.nowMs();
         openedLagMs = server.lagMs();
         sendsSinceMs = openedMs;
-        server.keeper().opened(this);
+        server.connections().opened(this);
     }
 
     // ---- Requests.
@@ -174,7 +174,7 @@
         Owed next = new Owed(HttpUtil.isKeepAlive(message));
         owed.add(next);
         readWhileThereIsRoom();
-        if (server.isReadyCheck(message)) {
+        if (server.isReadinessCheck(message)) {
             next.answer(response(
                     server.ready() ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE, new byte[0]));
         } else {
@@ -194,9 +194,9 @@
 
     private void take(FullHttpRequest message, Owed next) {
         try {
-            ClientRequest request = server.read(message);
+            ClientRequest request = server.parse(message);
             next.id = request.id();
-            next.exchange = server.take(request, unreadMs(), next);
+            next.exchange = server.submit(request, unreadMs(), next);
         } catch (RejectedException e) {
             // Else a client could have the event loop answer all that it sends, thousands of requests in a row.
             deaf = true;
@@ -219,7 +219,7 @@
         deaf = true;
         Owed last = new Owed(false);
         owed.add(last);
-        last.answer(response(RequestGuard.status(cause), new byte[0]));
+        last.answer(response(RequestValidator.status(cause), new byte[0]));
     }
 
     // ---- Answers.
@@ -242,13 +242,13 @@
         }
         if (owed.isEmpty() && sendsSinceMs == 0) {
             restsSinceMs = server.nowMs();
-            server.keeper().used(this);
+            server.connections().used(this);
         }
         readWhileThereIsRoom();
     }
 
     private boolean endsWithThisAnswer() {
-        return server.closing() || !answered && server.keeper().isCrowded();
+        return server.closing() || !answered && server.connections().isCrowded();
     }
 
     private void readWhileThereIsRoom() {
@@ -341,13 +341,13 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
-        server.keeper().closed(this);
+        server.connections().closed(this);
         for (Owed request = owed.poll(); request != null; request = owed.poll()) {
             request.release();
             if (request.response != null) {
                 request.response.release();
             } else if (request.exchange != null) {
-                server.left(request.exchange);
+                server.clientClosed(request.exchange);
             }
         }
     }
--- a/sidecar/src/main/java/gradehub/node/ClientKeeper.java
+++ b/sidecar/src/main/java/gradehub/node/ClientConnections.java
@@ -11,7 +11,7 @@
  * Which of the clients' connections stay. Each holds a descriptor: those that say nothing, send without end or do not
  * read are ended in time, and where room is short those at rest too, the longest unused first.
  */
-final class ClientKeeper {
+final class ClientConnections {
 
     /** Of what clients may hold, kept free for those that come. */
     private static final int SPARE = 32;
@@ -22,12 +22,12 @@
     /** The longest unused first. */
     private final Set<ClientConnection> connections = new LinkedHashSet<>();
 
-    ClientKeeper(EventLoop loop, Clock clock, EventLoopLag lag, SocketBudget sockets) {
+    ClientConnections(EventLoop loop, Clock clock, EventLoopLag lag, SocketBudget sockets) {
         this.clock = clock;
         this.lag = lag;
         this.sockets = sockets;
         loop.scheduleWithFixedDelay(
-                () -> GuardedTask.run("looking at clients' connections", this::look),
+                () -> GuardedTask.run("looking at clients' connections", this::closeOverdue),
                 EventLoopLag.PERIOD_MS,
                 EventLoopLag.PERIOD_MS,
                 TimeUnit.MILLISECONDS);
@@ -54,7 +54,7 @@
         return new ArrayList<>(connections);
     }
 
-    int open() {
+    int openConnections() {
         return connections.size();
     }
 
@@ -65,11 +65,11 @@
      * all come back soon: each then pays for a new connection, so those that have come back before are spared.
      */
     boolean isCrowded() {
-        return connections.size() > sockets.mostRequests();
+        return connections.size() > sockets.maxConcurrentRequests();
     }
 
     /** Ends what is overdue. */
-    void look() {
+    void closeOverdue() {
         lag.beat();
         double nowMs = clock.nowMs();
         all().forEach(connection -> connection.endIfOverdue(nowMs));
@@ -77,7 +77,7 @@
     }
 
     private void makeRoom() {
-        int wanted = SPARE - sockets.roomForClients();
+        int wanted = SPARE - sockets.remainingClientSockets();
         if (wanted <= 0) {
             return;
         }
--- a/sidecar/src/main/java/gradehub/node/ClientRequest.java
+++ b/sidecar/src/main/java/gradehub/node/ClientRequest.java
@@ -25,12 +25,12 @@
         byte[] body) {
 
     static final String ID = "X-Txn";
-    static final String REMAINING = "X-Remaining-Ms";
+    static final String REMAINING_MS = "X-Remaining-Ms";
     static final String CLASS = "X-Lane";
     static final String TENANT = "X-Org";
     private static final String REPEAT = "X-Resent";
     static final String ESTIMATE_US = "X-Estimate";
-    static final String KEY = "Idempotency-Key";
+    static final String IDEMPOTENCY_KEY = "Idempotency-Key";
     private static final int ID_DIGITS = 16;
     private static final int MOST_DIGITS = 15;
     /** They speak of one connection, or are written anew for the next. */
@@ -45,7 +45,7 @@
             HttpHeaderNames.UPGRADE,
             HttpHeaderNames.CONTENT_LENGTH,
             HttpHeaderNames.EXPECT,
-            REMAINING);
+            REMAINING_MS);
 
     /** A request that no upstream should see; it is answered with this status. */
     static final class RejectedException extends Exception {
@@ -69,7 +69,7 @@
         int requestClass = requestClass(message, settings);
         RequestClass spec = settings.classes().get(requestClass);
         checkMethod(message, spec);
-        double remainingMs = Math.min(number(headers, REMAINING, spec.deadlineMs()), spec.deadlineMs());
+        double remainingMs = Math.min(number(headers, REMAINING_MS, spec.deadlineMs()), spec.deadlineMs());
         double costMs = Math.min(number(headers, ESTIMATE_US, 0) / 1000, spec.deadlineMs());
         return new ClientRequest(
                 id,
@@ -84,7 +84,7 @@
                 ByteBufUtil.getBytes(message.content()));
     }
 
-    static String firstPart(String uri) {
+    static String firstPathSegment(String uri) {
         int start = uri.startsWith("/") ? 1 : 0;
         int end = start;
         while (end < uri.length() && uri.charAt(end) != '/' && uri.charAt(end) != '?') {
@@ -94,7 +94,7 @@
     }
 
     private static int requestClass(FullHttpRequest message, Settings settings) throws RejectedException {
-        String inPath = firstPart(message.uri());
+        String inPath = firstPathSegment(message.uri());
         String name = message.headers().get(CLASS, inPath);
         for (int i = 0; i < settings.classes().size(); i++) {
             if (settings.classes().get(i).name().equals(name)) {
@@ -116,8 +116,8 @@
         if (spec.effect() == Effect.SAFE && message.content().isReadable()) {
             throw bad(wanted + " has no body");
         }
-        if (spec.effect() == Effect.KEYED && !message.headers().contains(KEY)) {
-            throw bad(KEY + " is missing");
+        if (spec.effect() == Effect.KEYED && !message.headers().contains(IDEMPOTENCY_KEY)) {
+            throw bad(IDEMPOTENCY_KEY + " is missing");
         }
     }
 
--- a/sidecar/src/main/java/gradehub/node/ClientServer.java
+++ b/sidecar/src/main/java/gradehub/node/ClientServer.java
@@ -30,7 +30,7 @@
     private final Engine engine;
     private final SocketBudget sockets;
     private final BooleanSupplier hasList;
-    private final ClientKeeper keeper;
+    private final ClientConnections connections;
     private final EventLoopLag lag;
     /** The identifiers of the requests that have no answer yet. */
     private final Set<String> ids = new HashSet<>();
@@ -53,17 +53,17 @@
         this.sockets = sockets;
         this.hasList = hasList;
         lag = new EventLoopLag(loop, clock);
-        keeper = new ClientKeeper(loop, clock, lag, sockets);
-        sockets.whenChanged(this::acceptWhileThereIsRoom);
+        connections = new ClientConnections(loop, clock, lag, sockets);
+        sockets.onChange(this::acceptWhileThereIsRoom);
     }
 
     ChannelFuture bind(InetSocketAddress address) {
         ChannelFuture bound = new ServerBootstrap()
                 .group(loop)
-                .channelFactory(() -> new ClientListener(sockets::roomForClients))
+                .channelFactory(() -> new ClientListener(sockets::remainingClientSockets))
                 .option(ChannelOption.SO_BACKLOG, BACKLOG)
                 .option(ChannelOption.SO_REUSEADDR, true)
-                .option(ChannelOption.RECVBUF_ALLOCATOR, oneAtATime())
+                .option(ChannelOption.RECVBUF_ALLOCATOR, acceptOnePerRead())
                 .childHandler(new ChannelInitializer<SocketChannel>() {
                     @Override
                     protected void initChannel(SocketChannel channel) {
@@ -72,8 +72,8 @@
                                 .addLast(
                                         new RequestDecoder(connection),
                                         new HttpResponseEncoder(),
-                                        new RequestGuard(),
-                                        RequestGuard.joining(),
+                                        new RequestValidator(),
+                                        RequestValidator.joining(),
                                         connection);
                     }
                 })
@@ -87,7 +87,7 @@
     }
 
     /** Else more would be accepted than there is room for. */
-    private static RecvByteBufAllocator oneAtATime() {
+    private static RecvByteBufAllocator acceptOnePerRead() {
         return new ServerChannelRecvByteBufAllocator().maxMessagesPerRead(1);
     }
 
@@ -96,12 +96,12 @@
         if (!closing()) {
             closingSinceMs = clock.nowMs();
         }
-        keeper.all().forEach(connection -> connection.endIfIdle(clock.nowMs()));
+        connections.all().forEach(connection -> connection.endIfIdle(clock.nowMs()));
     }
 
     /** By now new connections no longer come. Lets in those that wait; returns false where some may still wait. */
-    boolean acceptWaiting() {
-        return listener == null || listener.acceptAll(sockets.roomForClients());
+    boolean acceptPending() {
+        return listener == null || listener.acceptAll(sockets.remainingClientSockets());
     }
 
     void stopListening() {
@@ -110,12 +110,12 @@
         }
     }
 
-    int open() {
-        return keeper.open();
+    int openConnections() {
+        return connections.openConnections();
     }
 
-    void look() {
-        keeper.look();
+    void closeOverdue() {
+        connections.closeOverdue();
     }
 
     private void acceptWhileThereIsRoom() {
@@ -130,8 +130,8 @@
         return clock.nowMs();
     }
 
-    ClientKeeper keeper() {
-        return keeper;
+    ClientConnections connections() {
+        return connections;
     }
 
     boolean closing() {
@@ -146,12 +146,12 @@
         return hasList.getAsBoolean();
     }
 
-    boolean isReadyCheck(FullHttpRequest message) {
-        return ClientRequest.firstPart(message.uri()).equals(READY)
+    boolean isReadinessCheck(FullHttpRequest message) {
+        return ClientRequest.firstPathSegment(message.uri()).equals(READY)
                 && !message.headers().contains(ClientRequest.ID);
     }
 
-    ClientRequest read(FullHttpRequest message) throws RejectedException {
+    ClientRequest parse(FullHttpRequest message) throws RejectedException {
         ClientRequest request = ClientRequest.of(message, settings);
         if (!ids.add(request.id())) {
             // It is another's: were both sent on, neither client could tell which answer is its own.
@@ -166,15 +166,15 @@
     }
 
     /** Takes a request that may have waited for this long before it was read. */
-    Engine.Exchange take(ClientRequest request, double unreadMs, Engine.Client client) {
+    Engine.Exchange submit(ClientRequest request, double unreadMs, Engine.Client client) {
         return engine.request(request, unreadMs, client);
     }
 
-    void left(Engine.Exchange exchange) {
+    void clientClosed(Engine.Exchange exchange) {
         engine.clientLeft(exchange);
     }
 
-    void ended(String id) {
+    void releaseId(String id) {
         ids.remove(id);
     }
 }
--- a/sidecar/src/main/java/gradehub/node/Config.java
+++ b/sidecar/src/main/java/gradehub/node/Config.java
@@ -172,8 +172,8 @@
 
     private static int sockets(JsonNode root) throws InvalidConfigException {
         int sockets = root.path("limits").path("sockets").asInt(1024);
-        if (sockets <= SocketBudget.LEAST) {
-            throw new InvalidConfigException("limits.sockets: must be above " + SocketBudget.LEAST);
+        if (sockets <= SocketBudget.RESERVED_DESCRIPTORS) {
+            throw new InvalidConfigException("limits.sockets: must be above " + SocketBudget.RESERVED_DESCRIPTORS);
         }
         return sockets;
     }
--- a/sidecar/src/main/java/gradehub/node/Engine.java
+++ b/sidecar/src/main/java/gradehub/node/Engine.java
@@ -115,7 +115,7 @@
         this.slackMs = config.answerSlackMs();
         this.upstreams = new Upstreams(loop, clock, config, sockets, opened, this);
         this.balancer = module.apply(this);
-        this.balancer.clientRoom(sockets.mostRequests());
+        this.balancer.clientRoom(sockets.maxConcurrentRequests());
     }
 
     void start(Lists discovery) {
--- a/sidecar/src/main/java/gradehub/node/RequestGuard.java
+++ b/sidecar/src/main/java/gradehub/node/RequestValidator.java
@@ -22,7 +22,7 @@
  * Checks the head of a request before its body is read. One that fails is marked as undecodable, and so ends its
  * connection: nothing behind it is read as a request.
  */
-final class RequestGuard extends ChannelInboundHandlerAdapter {
+final class RequestValidator extends ChannelInboundHandlerAdapter {
 
     /** Each says one thing to the sidecar: said twice, an upstream might believe the other one. */
     private static final List<CharSequence> ONCE = List.of(
@@ -31,8 +31,8 @@
             HttpHeaderNames.TRANSFER_ENCODING,
             ClientRequest.ID,
             ClientRequest.CLASS,
-            ClientRequest.REMAINING,
-            ClientRequest.KEY,
+            ClientRequest.REMAINING_MS,
+            ClientRequest.IDEMPOTENCY_KEY,
             ClientRequest.TENANT,
             ClientRequest.ESTIMATE_US);
 
--- a/sidecar/src/main/java/gradehub/node/Sidecar.java
+++ b/sidecar/src/main/java/gradehub/node/Sidecar.java
@@ -163,7 +163,7 @@
 
     /** Returns the number of open client connections. */
     int clients() {
-        return clients.open();
+        return clients.openConnections();
     }
 
     /** Returns the lag of the event loop: how long input from clients may have waited. */
@@ -234,7 +234,7 @@
     /** Retries a failed accept first: closing the listener resets the connections that are still pending. */
     void stopListening() {
         finalAccepts++;
-        if (!clients.acceptWaiting() && finalAccepts < MAX_FINAL_ACCEPTS) {
+        if (!clients.acceptPending() && finalAccepts < MAX_FINAL_ACCEPTS) {
             loop.schedule(stopListening, POLL_MS, TimeUnit.MILLISECONDS);
             return;
         }
@@ -245,7 +245,7 @@
 
     /** Runs the periodic check that closes overdue client connections. */
     void closeOverdueClients() {
-        clients.look();
+        clients.closeOverdue();
     }
 
     /**
@@ -253,7 +253,7 @@
      * last answer, an idle one by itself. Clients that do not read their answers are not waited for.
      */
     private void shutDownWhenDrained() {
-        if (engine.inHand() == 0 && (clients.open() == 0 || drainLeftMs <= 0)) {
+        if (engine.inHand() == 0 && (clients.openConnections() == 0 || drainLeftMs <= 0)) {
             halt();
             return;
         }
--- a/sidecar/src/main/java/gradehub/node/SocketBudget.java
+++ b/sidecar/src/main/java/gradehub/node/SocketBudget.java
@@ -7,7 +7,7 @@
 final class SocketBudget {
 
     /** Descriptors of the runtime, of the listener and of discovery: some 30 are held in service. */
-    static final int LEAST = 44;
+    static final int RESERVED_DESCRIPTORS = 44;
     /** Clients may fill a third of all descriptors with requests: as many are kept for them. */
     private static final int KEPT_PART = 3;
     /** What clients may hold together with those that rest or say nothing, of the room there is. */
@@ -17,49 +17,49 @@
     private final int keptForClients;
     private int clients;
     private int upstreams;
-    private Runnable whenChanged = () -> {};
+    private Runnable onChange = () -> {};
 
     SocketBudget(int descriptors) {
-        most = descriptors - LEAST;
+        most = descriptors - RESERVED_DESCRIPTORS;
         keptForClients = Math.min(descriptors / KEPT_PART, most / 2);
     }
 
     /** Called each time a socket opens or closes. */
-    void whenChanged(Runnable action) {
-        whenChanged = action;
+    void onChange(Runnable action) {
+        onChange = action;
     }
 
     /** How many more clients may connect. */
-    int roomForClients() {
+    int remainingClientSockets() {
         return Math.min((int) (CLIENTS_PART * most), most - upstreams) - clients;
     }
 
     /** How many requests clients can have open at once, a connection to each. */
-    int mostRequests() {
+    int maxConcurrentRequests() {
         return keptForClients;
     }
 
-    boolean hasRoomForUpstream() {
+    boolean canOpenUpstream() {
         return upstreams < most - keptForClients && clients + upstreams < most;
     }
 
     void clientOpened() {
         clients++;
-        whenChanged.run();
+        onChange.run();
     }
 
     void clientClosed() {
         clients--;
-        whenChanged.run();
+        onChange.run();
     }
 
     void upstreamOpened() {
         upstreams++;
-        whenChanged.run();
+        onChange.run();
     }
 
     void upstreamClosed() {
         upstreams--;
-        whenChanged.run();
+        onChange.run();
     }
 }
--- a/sidecar/src/main/java/gradehub/node/UpstreamConnection.java
+++ b/sidecar/src/main/java/gradehub/node/UpstreamConnection.java
@@ -142,7 +142,7 @@
                 request.headers().copy(),
                 DefaultHttpHeadersFactory.trailersFactory().newEmptyHeaders());
         double leftMs = carried.capMs - (upstreams.nowMs() - carried.sentMs);
-        message.headers().set(ClientRequest.REMAINING, (long) Math.max(1, leftMs));
+        message.headers().set(ClientRequest.REMAINING_MS, (long) Math.max(1, leftMs));
         if (request.body().length > 0 || !request.method().name().equals("GET")) {
             HttpUtil.setContentLength(message, request.body().length);
         }
--- a/sidecar/src/main/java/gradehub/node/Upstreams.java
+++ b/sidecar/src/main/java/gradehub/node/Upstreams.java
@@ -197,7 +197,7 @@
             return;
         }
         UpstreamConnection rested = pool == null ? null : rested(pool);
-        if (pool == null || rested == null && !sockets.hasRoomForUpstream() && !closeOneIdle()) {
+        if (pool == null || rested == null && !sockets.canOpenUpstream() && !closeOneIdle()) {
             end(attempt, Outcome.CONNECT_FAILED, NO_REPORT, null);
             return;
         }
--- a/sidecar/src/test/java/gradehub/node/ClientEndTest.java
+++ b/sidecar/src/test/java/gradehub/node/ClientCloseTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 
 /** A client's connection that the sidecar ends just as a request comes, read late because the event loop is held. */
-class ClientEndTest {
+class ClientCloseTest {
 
     private static final String READY = "GET /ready HTTP/1.1\r\n\r\n";
     private static final int REQUEST_MS = 2200; // more than a request's bytes are waited for
@@ -93,7 +93,7 @@
     /** Room is always short here: less than what is kept free for those that come. */
     @Test
     void aRestingConnectionWithAnUnreadRequestMakesNoRoom() throws Throwable {
-        start(SocketBudget.LEAST + 16);
+        start(SocketBudget.RESERVED_DESCRIPTORS + 16);
         try (RawConnection client = ready()) {
             lookAfter(REST_MS + 100, client, SidecarFixture.postRequest(SidecarFixture.requestId(1), "x"));
             assertServed(SidecarFixture.requestId(1), client);
--- a/sidecar/src/test/java/gradehub/node/DescriptorTest.java
+++ b/sidecar/src/test/java/gradehub/node/DescriptorExhaustionTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Descriptors that have run out: whatever could not be opened for want of one, and nothing else, has failed. */
-class DescriptorTest {
+class DescriptorExhaustionTest {
 
     private SidecarFixture fixture;
     private ServerSocket upstream;
@@ -69,7 +69,7 @@
     @Test
     void clientsThatRestTakeNoSocketFromDiscoveryOrUpstreams() throws Exception {
         int room = 20;
-        fixture.start(list(), SocketBudget.LEAST + room);
+        fixture.start(list(), SocketBudget.RESERVED_DESCRIPTORS + room);
         RawConnection watch = fixture.acceptWatch();
         List<RawConnection> resting = new ArrayList<>();
         for (int i = 0; i < room; i++) {
--- a/sidecar/src/test/java/gradehub/node/BadClientTest.java
+++ b/sidecar/src/test/java/gradehub/node/InvalidRequestTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** Clients that send what can't be read, or nothing: an error or a close for them, and nothing for any upstream. */
-class BadClientTest {
+class InvalidRequestTest {
 
     private SidecarFixture fixture;
     private ServerSocket upstream;
@@ -188,7 +188,7 @@
     /** Clients that asked once and stay must not keep others out. */
     @Test
     void whereRoomIsShortAConnectionAtRestIsClosed() throws Exception {
-        fixture.start(list, SocketBudget.LEAST + 8);
+        fixture.start(list, SocketBudget.RESERVED_DESCRIPTORS + 8);
         try (RawConnection client = fixture.client()) {
             client.send(SidecarFixture.getRequest(SidecarFixture.requestId(1)));
             RawConnection up = SidecarFixture.accept(upstream);
--- a/sidecar/src/test/java/gradehub/node/SidecarTest.java
+++ b/sidecar/src/test/java/gradehub/node/SidecarTest.java
@@ -108,7 +108,7 @@
         int most = 20; // requests: half of what is beyond the least
         fixture.start(
                 SidecarFixture.list(1, true, SidecarFixture.member("u1", SidecarFixture.address(upstream), "active")),
-                SocketBudget.LEAST + 2 * most);
+                SocketBudget.RESERVED_DESCRIPTORS + 2 * most);
         RawConnection known = fixture.client().send(ask + SidecarFixture.getRequest(SidecarFixture.requestId(0)));
         assertNull(known.read().header("Connection"), "there is room");
         RawConnection up = SidecarFixture.accept(upstream);
@@ -132,7 +132,7 @@
         int held = 3; // beyond which what is left is kept
         fixture.start(
                 SidecarFixture.list(1, true, SidecarFixture.member("u1", SidecarFixture.address(upstream), "active")),
-                SocketBudget.LEAST + 2 * most);
+                SocketBudget.RESERVED_DESCRIPTORS + 2 * most);
         RawConnection first = fixture.client()
                 .send(SidecarFixture.postRequest(SidecarFixture.requestId(0), "x")
                         + SidecarFixture.getRequest(SidecarFixture.requestId(1)));
@@ -373,7 +373,7 @@
     void connectionsToUpstreamsLeaveRoomForClients() throws Exception {
         fixture.start(
                 SidecarFixture.list(1, true, SidecarFixture.member("u1", SidecarFixture.address(upstream), "active")),
-                SocketBudget.LEAST + 4);
+                SocketBudget.RESERVED_DESCRIPTORS + 4);
         try (RawConnection first = fixture.client();
                 RawConnection second = fixture.client()) {
             first.send(SidecarFixture.getRequest(SidecarFixture.requestId(1)));
