--- a/sidecar/src/main/java/gradehub/node/ClientConnections.java
+++ b/sidecar/src/main/java/gradehub/node/ClientConnections.java
@@ -69,8 +69,8 @@
     }
 
     /** Ends what is overdue. */
-    void closeOverdue() {
-        lag.beat();
+    void look() {
+        lag.sample();
         double nowMs = clock.nowMs();
         all().forEach(connection -> connection.endIfOverdue(nowMs));
         makeRoom();
