--- a/sidecar/src/main/java/gradehub/node/ClientConnections.java
+++ b/sidecar/src/main/java/gradehub/node/ClientConnections.java
@@ -69,7 +69,7 @@
     }
 
     /** Ends what is overdue. */
-    void look() {
+    void closeOverdue() {
         lag.sample();
         double nowMs = clock.nowMs();
         all().forEach(connection -> connection.endIfOverdue(nowMs));
