--- a/sidecar/src/main/java/gradehub/node/EventLoopLag.java
+++ b/sidecar/src/main/java/gradehub/node/EventLoopLag.java
@@ -5,49 +5,50 @@
 
 /**
  * Measures how late the event loop runs. A process that is starved of processor time, or busy with one long task, reads
- * requests long after they have come. The sockets do not tell when, but a periodic task that is overdue does.
+ * requests long after they arrived. Sockets do not report arrival times, but an overdue periodic task shows the delay.
  */
 final class EventLoopLag {
 
-    /** Between two beats of a loop that is in time. A lag under one period is the ordinary scatter of timers. */
+    /** Interval between samples of a loop without lag. A lag under one period is normal timer jitter. */
     static final long PERIOD_MS = 50;
 
-    private static final long NEXT_TASKS_MS = 1;
+    private static final long CLEAR_DELAY_MS = 1;
 
     private final EventLoop loop;
     private final Clock clock;
-    private final Runnable forget = this::forget; // made once: a lambda made in the first stall would prolong it
-    private double beatMs;
-    /** The lag at the last beat, for as long as input that came before that beat may still lie unread. */
-    private double carriedMs;
+    private final Runnable clearCarriedLag =
+            this::clearCarriedLag; // created once: creating a lambda in the first stall would prolong it
+    private double sampledAtMs;
+    /** The lag at the last sample, kept while input that arrived before that sample may still be unread. */
+    private double carriedLagMs;
 
     EventLoopLag(EventLoop loop, Clock clock) {
         this.loop = loop;
         this.clock = clock;
-        beatMs = clock.nowMs();
+        sampledAtMs = clock.nowMs();
     }
 
-    /** To be called each {@link #PERIOD_MS} by a task of the loop. */
+    /** Called every {@link #PERIOD_MS} by a task of the loop. */
     void sample() {
-        carriedMs = overdueMs();
-        beatMs = clock.nowMs();
-        if (carriedMs > 0) {
-            loop.schedule(forget, NEXT_TASKS_MS, TimeUnit.MILLISECONDS); // the loop reads its sockets before that
+        carriedLagMs = overdueMs();
+        sampledAtMs = clock.nowMs();
+        if (carriedLagMs > 0) {
+            loop.schedule(clearCarriedLag, CLEAR_DELAY_MS, TimeUnit.MILLISECONDS); // the loop reads its sockets first
         }
     }
 
-    /** How long input that is read now may have waited at the most, to within a period. */
+    /** Upper bound on how long input that is read now may have waited, to within one period. */
     double lagMs() {
-        double sinceBeatMs = clock.nowMs() - beatMs;
-        return Math.max(overdueMs(), carriedMs > 0 ? carriedMs + sinceBeatMs : 0);
+        double sinceSampleMs = clock.nowMs() - sampledAtMs;
+        return Math.max(overdueMs(), carriedLagMs > 0 ? carriedLagMs + sinceSampleMs : 0);
     }
 
-    private void forget() {
-        carriedMs = 0;
+    private void clearCarriedLag() {
+        carriedLagMs = 0;
     }
 
     private double overdueMs() {
-        double overdueMs = clock.nowMs() - beatMs - PERIOD_MS;
+        double overdueMs = clock.nowMs() - sampledAtMs - PERIOD_MS;
         return overdueMs < PERIOD_MS ? 0 : overdueMs;
     }
 }
--- a/sidecar/src/main/java/gradehub/node/ObservedSelectorProvider.java
+++ b/sidecar/src/main/java/gradehub/node/ObservedSelectorProvider.java
@@ -11,8 +11,9 @@
 import java.nio.channels.spi.SelectorProvider;
 
 /**
- * The system's selectors; their event loop learns of each that is opened. It opens another one, and registers all
- * channels with that, where the selector returns again and again with nothing to tell.
+ * Delegates to the system's selector provider and notifies {@link SelectorRegistrations} of each selector that is opened.
+ * When a selector repeatedly returns without ready keys, the event loop opens another one and registers all channels
+ * with it.
  */
 final class ObservedSelectorProvider extends SelectorProvider {
 
--- a/sidecar/src/main/java/gradehub/node/ReadAheadChannel.java
+++ b/sidecar/src/main/java/gradehub/node/ReadAheadChannel.java
@@ -11,112 +11,113 @@
 import java.nio.channels.SocketChannel;
 
 /**
- * A socket on which one can look at what has come and has not been read by the event loop yet. What a look finds is
- * read by the event loop all the same, in its turn. Its configuration sets TCP_NODELAY where the system can; as an option
- * of a bootstrap, a failure to set it would close the connection.
+ * A socket channel that can check for unread input, or for a close by the peer, ahead of the event loop's next read.
+ * Input that a check reads is buffered and delivered through the pipeline as usual. The channel's configuration sets
+ * TCP_NODELAY where the system permits it; as an option of the bootstrap, a failure to set it would close the connection.
  */
 final class ReadAheadChannel extends NioSocketChannel {
 
-    /** How far a look goes: what lies behind so much input, more than any request is, is not seen. */
-    private static final int FURTHEST_BYTES = 1 << 17;
+    /** Limit of the buffer, larger than any request. A close behind more input than this is not detected. */
+    private static final int MAX_BUFFERED_BYTES = 1 << 17;
 
-    private static final int FIRST_BYTES = 1024;
+    private static final int BUFFER_INCREMENT_BYTES = 1024;
 
-    /** What a read of the socket returns at the end of the stream; any other negative number is no end. */
-    private static final int END = -1;
-    /** Interrupted reads of one look; the event loop reads on after that. */
-    private static final int MOST_INTERRUPTED = 16;
+    /** Result of a socket read at the end of the stream; other negative results do not mean the end. */
+    private static final int END_OF_STREAM = -1;
+    /** Limit of interrupted reads in one check; the event loop reads the rest. */
+    private static final int MAX_INTERRUPTED_READS = 16;
 
-    private ByteBuf ahead;
-    private boolean ended;
-    /** From when it is registered with an event loop. */
+    private ByteBuf buffered;
+    private boolean inputEnded;
+    /** Null until the channel is registered with an event loop. */
     private RegistrationMonitor registrationMonitor;
-    /** Whether it is being read though the selector has not told of input. */
-    private boolean untold;
+    /** Whether the read in progress was started without a readiness report from the selector. */
+    private boolean unreportedRead;
 
-    /** Whether a check has found the connect over, before the event loop has dealt with it. */
-    private boolean foundConnected;
+    /** Whether a check has completed the connect and the event loop has not processed it yet. */
+    private boolean connectCompleted;
 
     private IOException connectFailure;
-    /** Made once: one that is made on a rare path would be linked while requests wait. */
+    /** Created once: a lambda created on a rare path would be linked while requests wait. */
     private final Runnable closeTask = this::close;
 
-    private final Runnable readTask = this::readWhatIsAhead;
+    private final Runnable readTask = this::readBuffered;
 
-    /** For a connection that is to be opened. */
+    /** Creates a channel for an outgoing connection. */
     ReadAheadChannel() {}
 
-    /** For one that has been accepted. */
+    /** Creates a channel for an accepted connection. */
     ReadAheadChannel(Channel parent, SocketChannel accepted) {
         super(parent, accepted);
     }
 
-    /** Whether it is open with nothing to read. */
+    /** Returns whether the channel is open and has no unread input. */
     boolean isOpenWithoutInput() {
-        return !isClosedByPeer() && ahead == null;
+        return !isClosedByPeer() && buffered == null;
     }
 
-    /** Whether the other side has closed it or broken it off; one that only sends nothing has not. */
+    /** Returns whether the peer has closed or reset the connection, or this side has closed it. A silent peer has not. */
     boolean isClosedByPeer() {
-        if (isActive() && !ended) {
-            look();
+        if (isActive() && !inputEnded) {
+            fillBuffer();
         }
-        return ended || !isActive();
+        return inputEnded || !isActive();
     }
 
-    private void look() {
-        if (ahead == null) {
-            // An array: a copy between buffers goes by a method handle that would be compiled while requests wait.
-            ahead = alloc().heapBuffer(FIRST_BYTES, FURTHEST_BYTES);
+    private void fillBuffer() {
+        if (buffered == null) {
+            // Array-backed: copying between buffers uses a method handle that would be compiled while requests wait.
+            buffered = alloc().heapBuffer(BUFFER_INCREMENT_BYTES, MAX_BUFFERED_BYTES);
         }
-        int before = ahead.readableBytes();
+        int before = buffered.readableBytes();
         try {
-            ended = readToAhead() == END;
+            inputEnded = readIntoBuffer() == END_OF_STREAM;
         } catch (IOException e) {
-            ended = true;
-            closeSoon();
+            inputEnded = true;
+            scheduleClose();
         }
-        if (ahead.readableBytes() > before) {
-            readAhead();
+        if (buffered.readableBytes() > before) {
+            scheduleRead();
         }
-        letGo();
+        releaseIfEmpty();
     }
 
-    /** Reads what is there; returns what the last read did. */
-    private int readToAhead() throws IOException {
+    /** Reads the available input into the buffer and returns the result of the last read. */
+    private int readIntoBuffer() throws IOException {
         int read = 1;
         int interrupted = 0;
-        while ((read > 0 || read < END && interrupted++ < MOST_INTERRUPTED) && ahead.maxWritableBytes() > 0) {
-            ahead.ensureWritable(Math.min(FIRST_BYTES, ahead.maxWritableBytes()));
-            read = ahead.writeBytes(javaChannel(), ahead.writableBytes());
+        while ((read > 0 || read < END_OF_STREAM && interrupted++ < MAX_INTERRUPTED_READS)
+                && buffered.maxWritableBytes() > 0) {
+            buffered.ensureWritable(Math.min(BUFFER_INCREMENT_BYTES, buffered.maxWritableBytes()));
+            read = buffered.writeBytes(javaChannel(), buffered.writableBytes());
         }
         return read;
     }
 
-    /** The error has been taken from the socket: the event loop would not come by it. */
-    private void closeSoon() {
+    /** Closes the channel from the event loop, which cannot see an error that a check has already consumed. */
+    private void scheduleClose() {
         eventLoop().execute(closeTask);
     }
 
-    private void letGo() {
-        if (ahead != null && !ahead.isReadable()) {
-            ahead.release();
-            ahead = null;
+    private void releaseIfEmpty() {
+        if (buffered != null && !buffered.isReadable()) {
+            buffered.release();
+            buffered = null;
         }
     }
 
-    /** The selector does not tell of what has been taken from the socket already. */
-    private void readAhead() {
+    /** Schedules a read of the buffered input: the selector does not report input already read from the socket. */
+    private void scheduleRead() {
         eventLoop().execute(readTask);
     }
 
-    private void readWhatIsAhead() {
-        if (ahead != null && isOpen() && config().isAutoRead()) {
-            readUntold();
+    private void readBuffered() {
+        if (buffered != null && isOpen() && config().isAutoRead()) {
+            readUnreported();
         }
     }
 
-    // ---- What the selector may keep from it.
+    // ---- Readiness that the selector may fail to report.
 
     @Override
     protected void doRegister(ChannelPromise promise) {
@@ -138,14 +139,14 @@
         if (connectFailure != null) {
             throw connectFailure;
         }
-        foundConnected = false;
+        connectCompleted = false;
         super.doFinishConnect();
     }
 
-    /** It becomes active in the event loop's own step, which tells its handlers of the change. */
+    /** Stays false until the event loop finishes the connect, because that step notifies the handlers. */
     @Override
     public boolean isActive() {
-        return !foundConnected && super.isActive();
+        return !connectCompleted && super.isActive();
     }
 
     @Override
@@ -171,14 +172,14 @@
 
     private void checkConnect() {
         try {
-            foundConnected = javaChannel().finishConnect();
+            connectCompleted = javaChannel().finishConnect();
         } catch (IOException e) {
             connectFailure = e;
         }
-        if (foundConnected) {
+        if (connectCompleted) {
             removeAndSubmit(NioIoOps.CONNECT);
         }
-        if (foundConnected || connectFailure != null) {
+        if (connectCompleted || connectFailure != null) {
             unsafe().finishConnect();
             registrationMonitor.renew("connecting");
         }
@@ -197,17 +198,17 @@
         if (isOpenWithoutInput()) {
             return;
         }
-        readUntold();
+        readUnreported();
         registrationMonitor.renew("reading");
     }
 
-    /** Reads though the selector has not told of input. */
-    private void readUntold() {
-        untold = true;
+    /** Reads without a readiness report from the selector. */
+    private void readUnreported() {
+        unreportedRead = true;
         try {
             unsafe().read();
         } finally {
-            untold = false;
+            unreportedRead = false;
         }
     }
 
@@ -220,35 +221,35 @@
         if (registers) {
             registrationMonitor.registrationChanged();
         }
-        if (ahead != null) {
-            readAhead();
+        if (buffered != null) {
+            scheduleRead();
         }
     }
 
     @Override
-    protected int doReadBytes(ByteBuf into) throws Exception {
-        if (!untold) {
+    protected int doReadBytes(ByteBuf target) throws Exception {
+        if (!unreportedRead) {
             registrationMonitor.readReadinessReported();
         }
-        if (ahead == null) {
-            int read = super.doReadBytes(into);
-            return read < END ? 0 : read; // an interrupted read: the selector tells of the input again
+        if (buffered == null) {
+            int read = super.doReadBytes(target);
+            return read < END_OF_STREAM ? 0 : read; // interrupted read: the selector reports the input again
         }
-        int bytes = Math.min(ahead.readableBytes(), into.writableBytes());
-        into.writeBytes(ahead.array(), ahead.arrayOffset() + ahead.readerIndex(), bytes);
-        ahead.skipBytes(bytes);
-        letGo();
-        if (ahead != null) {
-            readAhead();
+        int bytes = Math.min(buffered.readableBytes(), target.writableBytes());
+        target.writeBytes(buffered.array(), buffered.arrayOffset() + buffered.readerIndex(), bytes);
+        buffered.skipBytes(bytes);
+        releaseIfEmpty();
+        if (buffered != null) {
+            scheduleRead();
         }
         return bytes;
     }
 
     @Override
     protected void doClose() throws Exception {
-        if (ahead != null) {
-            ahead.release();
-            ahead = null;
+        if (buffered != null) {
+            buffered.release();
+            buffered = null;
         }
         if (registrationMonitor != null) {
             registrationMonitor.closed();
--- a/sidecar/src/main/java/gradehub/node/RegistrationMonitor.java
+++ b/sidecar/src/main/java/gradehub/node/RegistrationMonitor.java
@@ -8,31 +8,31 @@
 import java.util.function.Supplier;
 
 /**
- * One channel's registration with the selector: whether it is in doubt, and how it is made anew. The selector tells the
- * system only of what differs from what it has told before, so a failed registration is repeated by taking the interest
- * back, for one turn of the event loop, and stating it again.
+ * Tracks whether one channel's registration with the selector is confirmed, and renews it. The selector passes to the
+ * system only interest that differs from what it passed before, so a failed registration is repeated by clearing the
+ * interest for one iteration of the event loop and setting it again.
  */
 final class RegistrationMonitor {
 
-    /** What a channel does to find out whether the selector keeps something from it. */
+    /** A channel's check for readiness that the selector has not reported. */
     interface Check {
-        /** Processes what is ready, and renews the registration where there was something. */
+        /** Processes the operations that are ready, and renews the registration if there were any. */
         void run(NioIoOps interest);
     }
 
-    /** Behind the next look of the selector at what has changed. */
-    private static final long RENEWAL_MS = 1;
+    /** Long enough for the selector to process the cleared interest first. */
+    private static final long RESTORE_DELAY_MS = 1;
 
     private final Channel channel;
     private final Supplier<IoRegistration> registration;
     private final Check check;
     private final SelectorRegistrations registrations;
-    private final Runnable restate = this::restate;
-    private boolean heard;
-    /** The interest that has been taken back, to be stated again. */
-    private int withdrawn;
+    private final Runnable restoreInterest = this::restoreInterest;
+    private boolean readReported;
+    /** The interest that was cleared and is to be set again; 0 if none. */
+    private int suspendedInterest;
 
-    /** For a channel that is being registered, on its event loop. */
+    /** Creates the monitor of a channel that is being registered; called on its event loop. */
     RegistrationMonitor(Channel channel, Supplier<IoRegistration> registration, Check check) {
         this.channel = channel;
         this.registration = registration;
@@ -45,29 +45,29 @@
         registrations.remove(this);
     }
 
-    /** Whether the channel wants to be told of this. */
-    boolean isInterestedIn(NioIoOps event) {
-        return event.isIncludedIn(interest());
+    /** Returns whether the channel's interest includes this operation. */
+    boolean isInterestedIn(NioIoOps operation) {
+        return operation.isIncludedIn(interest());
     }
 
-    /** What it wants to be told of has changed, and so has its registration. */
+    /** Marks the registration as unconfirmed after a change of the interest. */
     void registrationChanged() {
-        heard = false;
+        readReported = false;
         registrations.markUnconfirmed(this);
     }
 
-    /** The selector has told that it can be read. */
+    /** Records that the selector has reported the channel as readable. */
     void readReadinessReported() {
-        heard = true;
+        readReported = true;
     }
 
-    /** That it can be read is proven by being told once; a connect or a write is told of only at its end. */
+    /** One report confirms a read registration; a connect or a write is reported only when it completes. */
     boolean isUnconfirmed() {
         int interest = interest();
         return NioIoOps.CONNECT.isIncludedIn(interest)
                 || NioIoOps.WRITE.isIncludedIn(interest)
-                || NioIoOps.READ_AND_ACCEPT.isIncludedIn(interest) && !heard
-                || withdrawn != 0;
+                || NioIoOps.READ_AND_ACCEPT.isIncludedIn(interest) && !readReported
+                || suspendedInterest != 0;
     }
 
     void check() {
@@ -77,30 +77,32 @@
         }
     }
 
-    /** The selector has kept something from the channel: makes its registration anew. */
+    /** Renews the registration after the selector has failed to report a ready operation. */
     void renew(String channelState) {
         registrations.renewed(channelState);
         int interest = interest();
-        if (interest == 0 || withdrawn != 0) {
+        if (interest == 0 || suspendedInterest != 0) {
             return;
         }
-        withdrawn = interest;
+        suspendedInterest = interest;
         registration.get().submit(NioIoOps.NONE);
-        channel.eventLoop().schedule(restate, RENEWAL_MS, TimeUnit.MILLISECONDS);
+        channel.eventLoop().schedule(restoreInterest, RESTORE_DELAY_MS, TimeUnit.MILLISECONDS);
     }
 
-    private void restate() {
-        int wanted = channel.config().isAutoRead()
-                ? withdrawn
-                : NioIoOps.valueOf(withdrawn).without(NioIoOps.READ_AND_ACCEPT).value();
-        withdrawn = 0;
+    private void restoreInterest() {
+        int restored = channel.config().isAutoRead()
+                ? suspendedInterest
+                : NioIoOps.valueOf(suspendedInterest)
+                        .without(NioIoOps.READ_AND_ACCEPT)
+                        .value();
+        suspendedInterest = 0;
         if (isRegistered()) {
-            registration.get().submit(NioIoOps.valueOf(interest() | wanted));
+            registration.get().submit(NioIoOps.valueOf(interest() | restored));
             registrationChanged();
         }
     }
 
-    /** What the selector is to tell of, as the runtime has it; 0 for a channel that is closed. */
+    /** The interest as recorded in the selection key; 0 for a closed channel. */
     private int interest() {
         if (!isRegistered()) {
             return 0;
--- a/sidecar/src/main/java/gradehub/node/SelectorRegistrations.java
+++ b/sidecar/src/main/java/gradehub/node/SelectorRegistrations.java
@@ -8,14 +8,14 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The channels of one event loop whose registration with the selector is in doubt. The runtime passes over a failed
- * {@code epoll_ctl}, so a channel that the system had no memory to register would never be heard. Each change of a
- * registration is in doubt until the selector has told of the channel; until then the channel is checked once in a
- * period. A channel that is heard costs nothing.
+ * The channels of one event loop whose registration with the selector is unconfirmed. The JDK ignores a failed
+ * {@code epoll_ctl}, so a channel that the system had no memory to register would never be reported as ready. Each
+ * change of a registration is unconfirmed until the selector reports the channel; until then the channel is checked
+ * once per period. A channel with a confirmed registration costs nothing.
  */
 final class SelectorRegistrations {
 
-    private static final long PERIOD_MS = 40;
+    private static final long CHECK_PERIOD_MS = 40;
     private static final FastThreadLocal<SelectorRegistrations> CURRENT = new FastThreadLocal<>() {
         @Override
         protected SelectorRegistrations initialValue() {
@@ -24,52 +24,52 @@
     };
 
     private final Set<RegistrationMonitor> registered = new HashSet<>();
-    private final Set<RegistrationMonitor> doubtful = new HashSet<>();
-    private final RateLimitedLog renewals = new RateLimitedLog();
+    private final Set<RegistrationMonitor> unconfirmed = new HashSet<>();
+    private final RateLimitedLog renewalLog = new RateLimitedLog();
     private final Runnable check = this::check;
     private EventLoop loop;
     private boolean scheduled;
 
     private SelectorRegistrations() {}
 
-    /** Those of the event loop that calls this. */
+    /** Returns the registrations of the calling event loop. */
     static SelectorRegistrations current() {
         return CURRENT.get();
     }
 
-    void add(RegistrationMonitor watch, EventLoop loop) {
+    void add(RegistrationMonitor monitor, EventLoop loop) {
         this.loop = loop;
-        registered.add(watch);
+        registered.add(monitor);
     }
 
-    void remove(RegistrationMonitor watch) {
-        registered.remove(watch);
-        doubtful.remove(watch);
+    void remove(RegistrationMonitor monitor) {
+        registered.remove(monitor);
+        unconfirmed.remove(monitor);
     }
 
-    /** Checks this channel from now on, until it is no longer in doubt. */
-    void markUnconfirmed(RegistrationMonitor watch) {
-        doubtful.add(watch);
+    /** Checks this channel periodically until its registration is confirmed. */
+    void markUnconfirmed(RegistrationMonitor monitor) {
+        unconfirmed.add(monitor);
         schedule();
     }
 
-    /** The event loop has a new selector, with which all channels are registered anew. */
+    /** Marks all channels as unconfirmed: the event loop registers them with the new selector. */
     void selectorOpened() {
         List.copyOf(registered).forEach(RegistrationMonitor::registrationChanged);
     }
 
-    /** A check has found something of which the selector has not told; it may have been about to. */
+    /** Logs that a check found readiness that the selector had not reported; the report may have been imminent. */
     void renewed(String channelState) {
-        renewals.warn("event=registration-renewed channel=" + channelState + " reason=not-told-by-selector");
+        renewalLog.warn("event=registration-renewed channel=" + channelState + " reason=not-told-by-selector");
     }
 
     private void check() {
         scheduled = false;
-        for (RegistrationMonitor watch : List.copyOf(doubtful)) {
-            GuardedTask.run("checking a registration", watch::check);
+        for (RegistrationMonitor monitor : List.copyOf(unconfirmed)) {
+            GuardedTask.run("checking a registration", monitor::check);
         }
-        doubtful.removeIf(watch -> !watch.isUnconfirmed());
-        if (!doubtful.isEmpty()) {
+        unconfirmed.removeIf(monitor -> !monitor.isUnconfirmed());
+        if (!unconfirmed.isEmpty()) {
             schedule();
         }
     }
@@ -77,7 +77,7 @@
     private void schedule() {
         if (!scheduled) {
             scheduled = true;
-            loop.schedule(check, PERIOD_MS, TimeUnit.MILLISECONDS);
+            loop.schedule(check, CHECK_PERIOD_MS, TimeUnit.MILLISECONDS);
         }
     }
 }
