--- a/scale/src/main/java/gradehub/scale/model/ListClient.java
+++ b/scale/src/main/java/gradehub/scale/model/ListClient.java
@@ -1,13 +1,13 @@
 package gradehub.scale.model;
 
 import gradehub.Balancer.ListKind;
-import gradehub.ListTimes;
+import gradehub.DiscoveryTimeouts;
 
 /** A sidecar's client of the list service. It behaves as the network code's, with the same times. */
 final class ListClient {
 
-    private static final long SILENCE_MICROS = Math.round(ListTimes.SILENCE_MS * World.MICROS_PER_MILLI);
-    private static final double CONNECT_MILLIS = ListTimes.CONNECT_MS;
+    private static final long SILENCE_MICROS = Math.round(DiscoveryTimeouts.IDLE_TIMEOUT_MS * World.MICROS_PER_MILLI);
+    private static final double CONNECT_MILLIS = DiscoveryTimeouts.CONNECT_TIMEOUT_MS;
 
     private final World world;
     private final ModelSidecar sidecar;
--- a/sidecar/src/main/java/gradehub/AdmissionControl.java
+++ b/sidecar/src/main/java/gradehub/AdmissionControl.java
@@ -16,7 +16,7 @@
     private static final double THROTTLE = 1.4; // attempts for each in time, beyond which some are refused
     private static final double REMEMBERED = 0.85; // of the attempts that ended, from tick to tick
 
-    int connections; // that clients can hold at once; 0 where it is not known
+    int maxConnections; // that clients can hold at once; 0 where it is not known
     private final Balancer.Goal goal;
     private final List<ClassStats> classes;
     private double ended; // attempts, older ones counting less
@@ -35,7 +35,7 @@
     }
 
     /** What an answer adds to the goal: to the whole and to a worst class that fares badly. */
-    double worth(ClassStats stats) {
+    double answerValue(ClassStats stats) {
         double offered = classes.stream()
                 .mapToDouble(other -> other.offered * other.spec.worth())
                 .sum();
@@ -59,15 +59,15 @@
     }
 
     /** Whether a request is refused, by a draw from 0 to 1, since most attempts come late. */
-    boolean throttles(double draw) {
+    boolean shouldThrottle(double draw) {
         return draw > THROTTLE * ((1 + inTime) / (1 + ended));
     }
 
     /** The request that must leave its connection to worthier ones: this new one, one that waits, or null. */
-    Call displaced(Call call, int open, Collection<Call> waiting) {
-        double kept = KEPT_FREE * Math.sqrt(connections); // what comes at once by chance grows so
-        double left = connections - open;
-        if (connections == 0 || left >= kept) {
+    Call selectRefused(Call call, int open, Collection<Call> waiting) {
+        double kept = KEPT_FREE * Math.sqrt(maxConnections); // what comes at once by chance grows so
+        double left = maxConnections - open;
+        if (maxConnections == 0 || left >= kept) {
             return null;
         }
         Call least = waiting.stream()
@@ -76,7 +76,7 @@
         if (least.worthPerMs() >= call.worthPerMs()) {
             double best = classes.stream()
                     .filter(stats -> stats.offered > 0)
-                    .mapToDouble(stats -> worth(stats) / stats.typicalMs)
+                    .mapToDouble(stats -> answerValue(stats) / stats.typicalMs)
                     .max()
                     .orElse(0);
             least = left < kept * (1 - call.worthPerMs() / best) ? call : null;
--- a/sidecar/src/main/java/gradehub/ConcurrencyLimit.java
+++ b/sidecar/src/main/java/gradehub/ConcurrencyLimit.java
@@ -13,7 +13,7 @@
     private double attempts;
     private double nextSendMs;
 
-    void start(double firstAttempts) {
+    void reset(double firstAttempts) {
         attempts = Math.max(1, firstAttempts);
     }
 
@@ -22,7 +22,7 @@
         return inFlight < Math.max(1, attempts * warmth) && nowMs >= nextSendMs;
     }
 
-    boolean isSingle() {
+    boolean atMostOne() {
         return attempts <= 1;
     }
 
--- a/sidecar/src/main/java/gradehub/Probation.java
+++ b/sidecar/src/main/java/gradehub/EjectionState.java
@@ -1,7 +1,7 @@
 package gradehub;
 
 /** Failures in a row and, once they have led to an ejection, when the next trial is due: ever rarer. */
-final class Probation {
+final class EjectionState {
 
     private static final double FIRST_GAP_MS = 250; // doubled before each trial, the first one too
     private static final double LONGEST_GAP_MS = 4000;
@@ -11,13 +11,13 @@
     private double nextTrialMs;
     private double gapMs;
 
-    void begin(double nowMs) {
+    void eject(double nowMs) {
         ejected = true;
         gapMs = FIRST_GAP_MS;
-        tried(nowMs);
+        trialSent(nowMs);
     }
 
-    void tried(double nowMs) {
+    void trialSent(double nowMs) {
         gapMs = Math.min(2 * gapMs, LONGEST_GAP_MS);
         nextTrialMs = nowMs + gapMs;
     }
--- a/sidecar/src/main/java/gradehub/LoadShedder.java
+++ b/sidecar/src/main/java/gradehub/LoadShedder.java
@@ -13,18 +13,18 @@
     private static final double LAST_CALL = 2.5; // typical latencies before the aim, when waiting ends
     private static final double LONGEST_CALL = 0.65; // of the aim, for that
 
-    final TreeSet<Call> waiting = new TreeSet<>(
+    final TreeSet<Call> queue = new TreeSet<>(
             Comparator.comparingDouble((Call call) -> -call.value).thenComparingLong(call -> -call.order));
     private int shed; // in this tick
     private boolean shedding;
 
     /** Takes out what could no longer earn until the next control tick, for the caller to refuse. */
     List<Call> shed(double nowMs, double controlMs) {
-        List<Call> late = waiting.stream()
+        List<Call> late = queue.stream()
                 .filter(call -> call.usefulUntilMs - nowMs <= Math.max(controlMs, lastCallMs(call.stats)))
                 .toList();
         shed += late.size();
-        late.forEach(waiting::remove);
+        late.forEach(queue::remove);
         return late;
     }
 
--- a/sidecar/src/main/java/gradehub/LoadShiftingBalancer.java
+++ b/sidecar/src/main/java/gradehub/LoadShiftingBalancer.java
@@ -30,7 +30,7 @@
     private final RetryPolicy retries = new RetryPolicy();
     private final AdmissionControl admission;
     private final LoadShedder shedder = new LoadShedder();
-    private final TreeSet<Call> waiting = shedder.waiting;
+    private final TreeSet<Call> waiting = shedder.queue;
     private final double controlMs;
     private final List<ClassStats> classes = new ArrayList<>();
     private final UpstreamList list;
@@ -74,14 +74,14 @@
         double aimMs = Math.min(answerMs, stats.spec.aimMs() - elapsedMs - 2 * settings.tickMs());
         double usefulMs = stats.spec.lateWorth() == 0 ? aimMs : answerMs; // else what is late earns too
         stats.offered++;
-        double value = admission.worth(stats) * (request.repeat() || elapsedMs > 0 ? REPEAT_WORTH : 1);
+        double value = admission.answerValue(stats) * (request.repeat() || elapsedMs > 0 ? REPEAT_WORTH : 1);
         Call call = new Call(request, stats, value, received++, nowMs + aimMs, nowMs + usefulMs);
         call.firstMs = nowMs - elapsedMs;
         calls.put(call.id, call);
-        slowStart.requested(call.costMs);
-        retries.requested();
+        slowStart.recordRequest(call.costMs);
+        retries.recordRequest();
         armControl();
-        Call displaced = admission.displaced(call, calls.size(), waiting);
+        Call displaced = admission.selectRefused(call, calls.size(), waiting);
         if (displaced != null) {
             waiting.remove(displaced);
             giveUp(displaced);
@@ -93,7 +93,7 @@
 
     private void place(double nowMs, Call call) {
         if (AdmissionControl.isTooLate(nowMs, call)
-                || call.attempts.isEmpty() && sparse() && admission.throttles(random.nextDouble())) {
+                || call.attempts.isEmpty() && sparse() && admission.shouldThrottle(random.nextDouble())) {
             giveUp(call);
         } else if (!waiting.isEmpty() || !dispatch(nowMs, call)) {
             waiting.add(call);
@@ -129,7 +129,7 @@
             boolean tried = call.attempts.size() < members.size() && call.tried(upstream);
             boolean excluded = tried || avoid && ejection.excludes(nowMs, upstream, call.stats);
             if (!excluded && fit(nowMs, call, upstream)) {
-                double weight = upstream.share * slowStart.warmth(nowMs, upstream.listed);
+                double weight = upstream.share * slowStart.capacityFraction(nowMs, upstream.listed);
                 sum += weight;
                 drawn = random.nextDouble() * sum < weight ? upstream : drawn;
             }
@@ -138,8 +138,8 @@
     }
 
     private boolean fit(double nowMs, Call call, UpstreamState upstream) {
-        double warmth = slowStart.warmth(nowMs, upstream.listed);
-        return retries.allowsAt(nowMs, call, upstream)
+        double warmth = slowStart.capacityFraction(nowMs, upstream.listed);
+        return retries.allowsRetryAt(nowMs, call, upstream)
                 && upstream.limit.admits(nowMs, upstream.inFlight, warmth)
                 && (warmth >= 1 || admitsCold(nowMs, call, upstream, warmth))
                 && !call.wouldBeLateAt(nowMs, upstream);
@@ -151,10 +151,10 @@
     }
 
     private void send(double nowMs, Call call, UpstreamState upstream) {
-        retries.sending(call);
+        retries.recordAttempt(call);
         call.begin(upstream, nowMs);
-        slowStart.sent(upstream.slowStartBudget, call.costMs);
-        ejection.sent(nowMs, upstream, call.stats);
+        slowStart.recordAttempt(upstream.slowStartBudget, call.costMs);
+        ejection.recordAttempt(nowMs, upstream, call.stats);
         actions.send(call.id, upstream.id, call.usefulUntilMs - nowMs);
     }
 
@@ -162,7 +162,7 @@
         nextShareTickMs = nowMs + TICK_MS;
         LoadShares.shift(nowMs, members);
         // Slow with single attempts: after a while that is taken for the servers' latency, not for a queue.
-        boolean starved = shedder.hasShed() && members.stream().allMatch(member -> member.limit.isSingle());
+        boolean starved = shedder.hasShed() && members.stream().allMatch(member -> member.limit.atMostOne());
         classes.forEach(stats -> stats.tick(starved));
         members.forEach(UpstreamState::tick);
         slowStart.tick();
@@ -187,7 +187,7 @@
         if (end.requestDone() || call.done) {
             finish(call);
         } else if (call.inFlight == 0
-                && retries.allows(nowMs, call, settings.limits().maxAttempts())) {
+                && retries.allowsRetry(nowMs, call, settings.limits().maxAttempts())) {
             place(nowMs, call);
         } else if (call.inFlight == 0) {
             giveUp(call);
@@ -199,8 +199,8 @@
         UpstreamState upstream = attempt.upstream;
         ClassStats stats = attempt.call.stats;
         if (how == Outcome.OK) {
-            ejection.answered(nowMs, upstream, members.size());
-            ejection.served(upstream, stats);
+            ejection.recordAnswer(nowMs, upstream, members.size());
+            ejection.recordClassSuccess(upstream, stats);
             attempt.call.served = true;
             stats.answered(latencyMs);
             upstream.served(latencyMs / stats.quietMs());
@@ -215,7 +215,7 @@
             // That a client has little patience says nothing against an upstream.
             boolean impatient = how == Outcome.TIMEOUT && latencyMs < BARELY * stats.typicalMs;
             if (!impatient) {
-                ejection.failed(nowMs, upstream, stats);
+                ejection.recordFailure(nowMs, upstream, stats);
             }
         }
         admission.attemptEnded(how == Outcome.OK && latencyMs <= stats.spec.aimMs());
@@ -231,7 +231,7 @@
     }
 
     private void giveUp(Call call) {
-        if (retries.isRepeatHarmless(call)) {
+        if (retries.isSafeToRepeat(call)) {
             actions.refuse(call.id, settings.limits().maxRetryAfterMs());
         } else {
             actions.fail(call.id);
@@ -289,7 +289,7 @@
     public void probeEnded(double nowMs, int upstream, Outcome outcome, double elapsedMs, double[] report) {
         UpstreamState probed = list.find(upstream);
         if (probed != null && outcome == Outcome.OK) {
-            ejection.answered(nowMs, probed, members.size());
+            ejection.recordAnswer(nowMs, probed, members.size());
             probed.report(nowMs, 1 + settings.requestsIn(report));
         } else if (probed != null) {
             probed.report(nowMs, Double.MAX_VALUE); // until it has answered another probe
@@ -327,13 +327,13 @@
 
     @Override
     public void clientRoom(int requests) {
-        admission.connections = requests;
+        admission.maxConnections = requests;
     }
 
     private void watchSilence(double nowMs) {
         for (UpstreamState upstream : members) {
             if (probesLoad && upstream.probation.ejected && !upstream.probation.excludes(nowMs)) {
-                upstream.probation.tried(nowMs);
+                upstream.probation.trialSent(nowMs);
                 actions.probe(upstream.id);
             }
             Attempt oldest = upstream.attempts.peekFirst();
@@ -342,7 +342,7 @@
             }
             double ageMs = nowMs - oldest.sentMs;
             guess(nowMs, upstream, Math.max(upstream.load, ageMs / oldest.call.stats.quietMs()));
-            ejection.checkSilence(nowMs, upstream, oldest);
+            ejection.checkUnresponsive(nowMs, upstream, oldest);
             if (upstream.probation.ejected && settings.limits().secondCopies() && waiting.isEmpty()) {
                 for (Attempt attempt : upstream.attempts) {
                     copy(nowMs, attempt);
@@ -355,7 +355,8 @@
     private void copy(double nowMs, Attempt stuck) {
         Call call = stuck.call;
         boolean due = !call.done && call.inFlight == 1 && nowMs - stuck.sentMs > call.stats.typicalMs;
-        boolean allowed = due && retries.allows(nowMs, call, settings.limits().maxAttempts());
+        boolean allowed =
+                due && retries.allowsRetry(nowMs, call, settings.limits().maxAttempts());
         UpstreamState other = allowed ? pick(nowMs, call) : null;
         if (other != null && other != stuck.upstream) {
             send(nowMs, call, other);
@@ -395,7 +396,7 @@
             serveWaiting(nowMs);
         } else if (!subscribeArmed) {
             subscribeArmed = true; // ever later, at random times: many sidecars ask one service
-            double longestMs = Math.min(ListTimes.PAUSE_MS, TICK_MS / 4 * (1 << listFailures));
+            double longestMs = Math.min(DiscoveryTimeouts.MAX_DELAY_MS, TICK_MS / 4 * (1 << listFailures));
             listFailures = Math.min(5, listFailures + 1);
             actions.timer(longestMs * (1 + random.nextDouble()) / 2, SUBSCRIBE_TIMER);
         }
--- a/sidecar/src/main/java/gradehub/OutlierEjection.java
+++ b/sidecar/src/main/java/gradehub/OutlierEjection.java
@@ -22,14 +22,14 @@
         return upstream.probation.excludes(nowMs) || upstream.probation(stats).excludes(nowMs);
     }
 
-    void sent(double nowMs, UpstreamState upstream, ClassStats stats) {
-        upstream.probation.tried(nowMs);
-        upstream.probation(stats).tried(nowMs);
+    void recordAttempt(double nowMs, UpstreamState upstream, ClassStats stats) {
+        upstream.probation.trialSent(nowMs);
+        upstream.probation(stats).trialSent(nowMs);
     }
 
-    void failed(double nowMs, UpstreamState upstream, ClassStats stats) {
-        Probation whole = upstream.probation;
-        Probation ofClass = upstream.probation(stats);
+    void recordFailure(double nowMs, UpstreamState upstream, ClassStats stats) {
+        EjectionState whole = upstream.probation;
+        EjectionState ofClass = upstream.probation(stats);
         whole.failures++;
         ofClass.failures++;
         if (whole.failures >= CONSECUTIVE_FAILURES) {
@@ -37,12 +37,12 @@
         } else if (!whole.ejected && !ofClass.ejected && ofClass.failures >= CONSECUTIVE_FAILURES) {
             actions.log(upstream + " is set aside for " + stats.spec.name() + " alone, which it failed "
                     + ofClass.failures + " times in a row; trying it now and then");
-            ofClass.begin(nowMs);
+            ofClass.eject(nowMs);
         }
     }
 
-    void served(UpstreamState upstream, ClassStats stats) {
-        Probation ofClass = upstream.probation(stats);
+    void recordClassSuccess(UpstreamState upstream, ClassStats stats) {
+        EjectionState ofClass = upstream.probation(stats);
         ofClass.failures = 0;
         if (ofClass.ejected) {
             ofClass.ejected = false;
@@ -50,7 +50,7 @@
         }
     }
 
-    void answered(double nowMs, UpstreamState upstream, int members) {
+    void recordAnswer(double nowMs, UpstreamState upstream, int members) {
         upstream.heardMs = nowMs;
         upstream.probation.failures = 0;
         if (upstream.probation.ejected) {
@@ -61,7 +61,7 @@
     }
 
     /** Ejects an upstream that is silent for too long; {@code oldest} is its oldest attempt in flight. */
-    void checkSilence(double nowMs, UpstreamState upstream, Attempt oldest) {
+    void checkUnresponsive(double nowMs, UpstreamState upstream, Attempt oldest) {
         double silentMs = nowMs - Math.max(upstream.heardMs, oldest.sentMs);
         // One attempt alone is often slow by chance; several that wait together hardly are.
         double enough = Math.max(SILENCE, oldest.call.stats.tail) / upstream.inFlight;
@@ -73,7 +73,7 @@
     void eject(double nowMs, UpstreamState upstream, String reason) {
         if (!upstream.probation.ejected) {
             actions.log(upstream + " is set aside, " + reason + "; trying it now and then");
-            upstream.probation.begin(nowMs);
+            upstream.probation.eject(nowMs);
         }
     }
 }
--- a/sidecar/src/main/java/gradehub/RetryPolicy.java
+++ b/sidecar/src/main/java/gradehub/RetryPolicy.java
@@ -11,17 +11,17 @@
 
     private double budget = MOST_SAVED / 2;
 
-    void requested() {
+    void recordRequest() {
         budget = Math.min(MOST_SAVED, budget + EARNED);
     }
 
     /** Notes an attempt that is about to be sent; the first one is free. */
-    void sending(Call call) {
+    void recordAttempt(Call call) {
         budget -= call.attempts.isEmpty() ? 0 : 1;
     }
 
     /** Whether a request may have a further attempt, if an upstream is found for it. */
-    boolean allows(double nowMs, Call call, int maxAttempts) {
+    boolean allowsRetry(double nowMs, Call call, int maxAttempts) {
         return budget >= 1
                 && call.attempts.size() < maxAttempts
                 && call.usefulUntilMs - nowMs >= call.stats.typicalMs
@@ -29,7 +29,7 @@
     }
 
     /** A keyed request that may have run goes only to the group that drops its repeats, within the window. */
-    boolean allowsAt(double nowMs, Call call, UpstreamState upstream) {
+    boolean allowsRetryAt(double nowMs, Call call, UpstreamState upstream) {
         Balancer.RequestClass spec = call.stats.spec;
         return spec.effect() != Balancer.Effect.KEYED
                 || call.attempts.stream()
@@ -39,7 +39,7 @@
     }
 
     /** Whether the client may send it again, wherever that goes: a refusal says so. */
-    boolean isRepeatHarmless(Call call) {
+    boolean isSafeToRepeat(Call call) {
         Balancer.Effect effect = call.stats.spec.effect();
         return effect == Balancer.Effect.SAFE
                 || call.provenNotRun()
--- a/sidecar/src/main/java/gradehub/SettingsReader.java
+++ b/sidecar/src/main/java/gradehub/SettingsReader.java
@@ -26,13 +26,13 @@
 
     private final Map<String, String> values;
 
-    /** Settings as path and value; see {@link #ofLines} for the form of the paths. */
+    /** Settings as path and value; see {@link #fromLines} for the form of the paths. */
     public SettingsReader(Map<String, String> values) {
         this.values = Map.copyOf(values);
     }
 
     /** Settings as path=value lines, where a list of objects has its length under .count and its items by number. */
-    public static SettingsReader ofLines(String text) {
+    public static SettingsReader fromLines(String text) {
         Map<String, String> values = new HashMap<>();
         for (String line : text.lines().toList()) {
             int split = line.indexOf('=');
@@ -57,7 +57,7 @@
             tenants.add(new Tenant(
                     word(path + "name", "tenant-" + i), number(path + "portion", 0), number(path + "quotaPerS", 0)));
         }
-        List<String> fields = "off".equals(word("report.via", "off")) ? List.of() : words("report.fields");
+        List<String> fields = "off".equals(word("report.via", "off")) ? List.of() : strings("report.fields");
         Limits limits = new Limits(
                 (int) number("limits.maxAttempts", 1),
                 flag("limits.secondCopies"),
@@ -115,7 +115,7 @@
     }
 
     /** A list of plain words; empty where the settings do not give it. */
-    public List<String> words(String path) {
+    public List<String> strings(String path) {
         String value = word(path, "");
         return value.isEmpty() ? List.of() : List.of(value.split(","));
     }
--- a/sidecar/src/main/java/gradehub/SlowStart.java
+++ b/sidecar/src/main/java/gradehub/SlowStart.java
@@ -28,7 +28,7 @@
     }
 
     /** The part of its load that an upstream can take at this age; 1 once it is warm. */
-    double warmth(double nowMs, Balancer.Upstream listed) {
+    double capacityFraction(double nowMs, Balancer.Upstream listed) {
         double ageMs = nowMs - listed.startedMs();
         if (listed.startedMs() <= 0 || ageMs >= contract.coldMs()) {
             return 1;
@@ -38,20 +38,20 @@
 
     /** Whether a cold upstream may be sent an attempt, where {@code part} of all attempts is a warm one's. */
     boolean admits(double nowMs, TokenBucket budget, double warmth, double part) {
-        return budget.has(nowMs, rate * sentPerMs * part * warmth, SAVED_MS, lapseMs);
+        return budget.hasToken(nowMs, rate * sentPerMs * part * warmth, SAVED_MS, lapseMs);
     }
 
     /** Notes a request, whose hint of its cost is 0 where there is none. */
-    void requested(double costMs) {
+    void recordRequest(double costMs) {
         if (costMs > 0) {
             meanCostMs += (costMs - meanCostMs) / Math.min(ClassStats.SMOOTHING, ++hinted);
         }
     }
 
     /** Notes an attempt: a heavy request is a part of the budget that is larger by so much. */
-    void sent(TokenBucket budget, double costMs) {
+    void recordAttempt(TokenBucket budget, double costMs) {
         sent++;
-        budget.take(costMs > 0 ? costMs / meanCostMs : 1);
+        budget.consume(costMs > 0 ? costMs / meanCostMs : 1);
     }
 
     void tick() {
--- a/sidecar/src/main/java/gradehub/TokenBucket.java
+++ b/sidecar/src/main/java/gradehub/TokenBucket.java
@@ -6,7 +6,7 @@
     private double tokens;
     private double filledMs;
 
-    void start(double nowMs, double some) {
+    void reset(double nowMs, double some) {
         tokens = some;
         filledMs = nowMs;
     }
@@ -15,7 +15,7 @@
      * Fills up to now at {@code perMs} and tells whether a token is there. No more is saved than comes in
      * {@code savedMs}; a single token that is rare lapses after {@code lapseMs}, and the next is waited for.
      */
-    boolean has(double nowMs, double perMs, double savedMs, double lapseMs) {
+    boolean hasToken(double nowMs, double perMs, double savedMs, double lapseMs) {
         tokens += perMs * (nowMs - filledMs);
         filledMs = nowMs;
         double lapsing = perMs * lapseMs;
@@ -27,7 +27,7 @@
         return tokens >= 1;
     }
 
-    void take(double some) {
+    void consume(double some) {
         tokens -= some;
     }
 }
--- a/sidecar/src/main/java/gradehub/UpstreamList.java
+++ b/sidecar/src/main/java/gradehub/UpstreamList.java
@@ -70,10 +70,10 @@
                 full = false;
             }
             if (!full) {
-                upstream.limit.start(firstInFlight());
+                upstream.limit.reset(firstInFlight());
                 upstream.share = (upstream.listed.weight() + Double.MIN_NORMAL) / (weights > 0 ? weights : 1);
                 // Not one at once from each of many sidecars.
-                upstream.slowStartBudget.start(nowMs, random.nextDouble());
+                upstream.slowStartBudget.reset(nowMs, random.nextDouble());
                 members.add(upstream);
             }
             upstream.weighed = true;
--- a/sidecar/src/main/java/gradehub/UpstreamState.java
+++ b/sidecar/src/main/java/gradehub/UpstreamState.java
@@ -25,8 +25,8 @@
     double heardMs;
     double load; // quiet latencies that a request sent at the latest report would take
     double reportMs = Double.NEGATIVE_INFINITY;
-    final Probation probation = new Probation(); // of it as a whole
-    private final Map<ClassStats, Probation> classProbation = new HashMap<>(); // of classes sent to it
+    final EjectionState probation = new EjectionState(); // of it as a whole
+    private final Map<ClassStats, EjectionState> classProbation = new HashMap<>(); // of classes sent to it
     final TokenBucket slowStartBudget = new TokenBucket();
 
     UpstreamState(Balancer.Upstream listed) {
@@ -34,8 +34,8 @@
         this.listed = listed;
     }
 
-    Probation probation(ClassStats stats) {
-        return classProbation.computeIfAbsent(stats, unused -> new Probation());
+    EjectionState probation(ClassStats stats) {
+        return classProbation.computeIfAbsent(stats, unused -> new EjectionState());
     }
 
     /** By which part a latency is under that of a crowded upstream; negative where it is over it. */
--- a/sidecar/src/main/java/gradehub/benchlink/BenchLink.java
+++ b/sidecar/src/main/java/gradehub/benchlink/BenchLink.java
@@ -201,7 +201,7 @@
 
     private static Settings settings(String options) throws MalformedFrameException {
         try {
-            return SettingsReader.ofLines(options).settings();
+            return SettingsReader.fromLines(options).settings();
         } catch (IllegalArgumentException e) {
             throw new MalformedFrameException("settings: " + e.getMessage());
         }
--- a/sidecar/src/main/java/gradehub/node/Config.java
+++ b/sidecar/src/main/java/gradehub/node/Config.java
@@ -107,7 +107,7 @@
                     sockets(root),
                     root.path("known"),
                     reader.settings(),
-                    new MemberReader(reader.words("failureDomains"), reader.words("kinds")),
+                    new MemberReader(reader.strings("failureDomains"), reader.strings("kinds")),
                     reader.number("limits.connectTimeoutMs", 250),
                     reader.number("limits.connIdleMs", 15_000),
                     reader.number("contract.answerSlackMs", 0),
--- a/sidecar/src/main/java/gradehub/node/Discovery.java
+++ b/sidecar/src/main/java/gradehub/node/Discovery.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import gradehub.Balancer.ListKind;
-import gradehub.ListTimes;
+import gradehub.DiscoveryTimeouts;
 import gradehub.node.MemberReader.Update;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.Unpooled;
@@ -38,7 +38,7 @@
 
     private static final System.Logger LOG = System.getLogger("gradehub");
     private static final String LIST = "/v1/endpoints";
-    private static final long SILENCE_MS = (long) ListTimes.SILENCE_MS;
+    private static final long SILENCE_MS = (long) DiscoveryTimeouts.IDLE_TIMEOUT_MS;
     private static final long FIRST_PAUSE_MS = 50;
     private static final long LONGEST_PAUSE_MS = 1000;
     /** Of the time in which a drain has to be kept once it is told: it may be told the moment discovery is back. */
@@ -73,7 +73,7 @@
         this.address = config.discovery();
         this.members = config.members();
         this.asked = config.settings().askForList();
-        this.connectTimeoutMs = Math.min(config.connectTimeoutMs(), ListTimes.CONNECT_MS);
+        this.connectTimeoutMs = Math.min(config.connectTimeoutMs(), DiscoveryTimeouts.CONNECT_TIMEOUT_MS);
         this.longestPauseMs = (long) Math.min(LONGEST_PAUSE_MS, PAUSE_PART * config.drainGraceMs());
         this.sockets = sockets;
         this.engine = engine;
--- a/sidecar/src/test/java/gradehub/AdmissionControlTest.java
+++ b/sidecar/src/test/java/gradehub/AdmissionControlTest.java
@@ -35,19 +35,19 @@
 
     @Test
     void worthIsThatOfTheClassInTheWhole() {
-        assertEquals(0.5, admission.worth(cheap));
-        assertEquals(2, admission.worth(dear));
+        assertEquals(0.5, admission.answerValue(cheap));
+        assertEquals(2, admission.answerValue(dear));
     }
 
     @Test
     void theWorstServedClassIsLiftedOnceItFaresBadly() {
         cheap.served = 91;
-        assertEquals(0.5, admission.worth(cheap));
+        assertEquals(0.5, admission.answerValue(cheap));
         cheap.served = 80; // the lift: 0.2 of 500 offered in worth, over the 100 requests of the class
-        assertEquals(1.5, admission.worth(cheap));
+        assertEquals(1.5, admission.answerValue(cheap));
         dear.served = 70;
-        assertEquals(0.5, admission.worth(cheap));
-        assertEquals(3, admission.worth(dear));
+        assertEquals(0.5, admission.answerValue(cheap));
+        assertEquals(3, admission.answerValue(dear));
     }
 
     @Test
@@ -60,42 +60,42 @@
 
     @Test
     void aPartIsRefusedOnceMostAttemptsComeLate() {
-        assertFalse(admission.throttles(0.999));
+        assertFalse(admission.shouldThrottle(0.999));
         for (int i = 0; i < 99; i++) {
             admission.attemptEnded(i < 24); // (1 + 24) / (1 + 99), times 1.4
         }
-        assertFalse(admission.throttles(0.34));
-        assertTrue(admission.throttles(0.36));
+        assertFalse(admission.shouldThrottle(0.34));
+        assertTrue(admission.shouldThrottle(0.36));
         for (int tick = 0; tick < 100; tick++) {
             admission.tick(new IdleActions());
         }
-        assertFalse(admission.throttles(0.999));
+        assertFalse(admission.shouldThrottle(0.999));
     }
 
     @Test
     void nothingIsRefusedWhereConnectionsAreLeftOrTheirNumberIsNotKnown() {
-        assertNull(admission.displaced(call(cheap, 0.5, 0), 1_000_000, List.of()));
-        admission.connections = 100; // 12 are kept for the worthiest
-        assertNull(admission.displaced(call(cheap, 0.5, 0), 88, List.of()));
+        assertNull(admission.selectRefused(call(cheap, 0.5, 0), 1_000_000, List.of()));
+        admission.maxConnections = 100; // 12 are kept for the worthiest
+        assertNull(admission.selectRefused(call(cheap, 0.5, 0), 88, List.of()));
     }
 
     @Test
     void theLessARequestIsWorthTheMoreConnectionsMustBeLeft() {
-        admission.connections = 100;
+        admission.maxConnections = 100;
         Call poor = call(cheap, 0.5, 0); // a quarter of the best: 9 must be left
-        assertNull(admission.displaced(poor, 91, List.of()));
-        assertSame(poor, admission.displaced(poor, 92, List.of()));
-        assertNull(admission.displaced(call(dear, 2, 0), 100, List.of()));
+        assertNull(admission.selectRefused(poor, 91, List.of()));
+        assertSame(poor, admission.selectRefused(poor, 92, List.of()));
+        assertNull(admission.selectRefused(call(dear, 2, 0), 100, List.of()));
     }
 
     @Test
     void whatWaitsAndIsWorthLessGoesInPlaceOfTheNewOne() {
-        admission.connections = 100;
+        admission.maxConnections = 100;
         Call poor = call(cheap, 0.4, 0);
         Call rich = call(dear, 2, 0);
-        assertSame(poor, admission.displaced(call(cheap, 0.5, 0), 99, List.of(rich, poor)));
+        assertSame(poor, admission.selectRefused(call(cheap, 0.5, 0), 99, List.of(rich, poor)));
         Call poorest = call(cheap, 0.1, 0);
-        assertSame(poorest, admission.displaced(poorest, 99, List.of(rich, poor)));
+        assertSame(poorest, admission.selectRefused(poorest, 99, List.of(rich, poor)));
     }
 
     @Test
@@ -107,12 +107,12 @@
                 logs.add(line);
             }
         };
-        admission.connections = 100;
+        admission.maxConnections = 100;
         for (int tick = 0; tick < 2; tick++) {
-            admission.displaced(call(cheap, 0.5, 0), 100, List.of());
+            admission.selectRefused(call(cheap, 0.5, 0), 100, List.of());
             admission.tick(actions);
         }
-        admission.displaced(call(dear, 2, 0), 100, List.of());
+        admission.selectRefused(call(dear, 2, 0), 100, List.of());
         admission.tick(actions);
         assertEquals(
                 List.of(
--- a/sidecar/src/test/java/gradehub/ConcurrencyLimitTest.java
+++ b/sidecar/src/test/java/gradehub/ConcurrencyLimitTest.java
@@ -13,7 +13,7 @@
 
     private static ConcurrencyLimit limit(double attempts) {
         ConcurrencyLimit limit = new ConcurrencyLimit();
-        limit.start(attempts);
+        limit.reset(attempts);
         return limit;
     }
 
@@ -36,8 +36,8 @@
     void startsAtWhatItIsGivenButAtOneAtLeast() {
         assertEquals(4, most(limit(4), 0, WARM));
         assertEquals(1, most(limit(0.2), 0, WARM));
-        assertTrue(limit(0.2).isSingle());
-        assertFalse(limit(4).isSingle());
+        assertTrue(limit(0.2).atMostOne());
+        assertFalse(limit(4).atMostOne());
     }
 
     @Test
@@ -77,7 +77,7 @@
     void belowOneAttemptItSetsAPace() {
         ConcurrencyLimit limit = limit(1);
         answers(limit, 10, 0, -0.9); // to the minimum of a half: a second attempt's time lies between two
-        assertTrue(limit.isSingle());
+        assertTrue(limit.atMostOne());
         assertEquals(0, most(limit, TYPICAL_MS - 1, WARM));
         assertEquals(1, most(limit, TYPICAL_MS, WARM));
         answers(limit, 1, 0, 0.1); // one quick answer lets single attempts through again
--- a/sidecar/src/test/java/gradehub/LoadShedderTest.java
+++ b/sidecar/src/test/java/gradehub/LoadShedderTest.java
@@ -27,7 +27,7 @@
     private Call waits(int order, double value, double usefulUntilMs) {
         Call call = new Call(
                 new Balancer.Request(order, 0, 0, 4000, false, 0), stats, value, order, usefulUntilMs, usefulUntilMs);
-        shedder.waiting.add(call);
+        shedder.queue.add(call);
         return call;
     }
 
@@ -36,7 +36,7 @@
         Call old = waits(1, 5, 1000);
         Call poor = waits(2, 1, 1000);
         Call recent = waits(3, 5, 1000);
-        assertEquals(List.of(recent, old, poor), List.copyOf(shedder.waiting));
+        assertEquals(List.of(recent, old, poor), List.copyOf(shedder.queue));
     }
 
     @Test
@@ -48,7 +48,7 @@
         assertFalse(shedder.hasShed());
         assertEquals(List.of(soon), shedder.shed(750, CONTROL_MS));
         assertTrue(shedder.hasShed());
-        assertEquals(List.of(later), List.copyOf(shedder.waiting));
+        assertEquals(List.of(later), List.copyOf(shedder.queue));
     }
 
     @Test
--- a/sidecar/src/test/java/gradehub/OutlierEjectionTest.java
+++ b/sidecar/src/test/java/gradehub/OutlierEjectionTest.java
@@ -34,7 +34,7 @@
 
     private void fails(double nowMs, ClassStats stats, int times) {
         for (int i = 0; i < times; i++) {
-            ejection.failed(nowMs, upstream, stats);
+            ejection.recordFailure(nowMs, upstream, stats);
         }
     }
 
@@ -57,8 +57,8 @@
     @Test
     void anAnswerEndsARowOfFailures() {
         fails(0, reads, 2);
-        ejection.answered(0, upstream, 4);
-        ejection.served(upstream, reads);
+        ejection.recordAnswer(0, upstream, 4);
+        ejection.recordClassSuccess(upstream, reads);
         fails(0, reads, 2);
         assertFalse(ejection.excludes(0, upstream, reads));
         assertEquals(List.of(), logs);
@@ -68,12 +68,12 @@
     void failuresOfOneClassEjectForThatClassAlone() {
         for (int i = 0; i < 3; i++) {
             fails(0, reads, 1);
-            ejection.answered(0, upstream, 4);
-            ejection.served(upstream, writes);
+            ejection.recordAnswer(0, upstream, 4);
+            ejection.recordClassSuccess(upstream, writes);
         }
         assertTrue(ejection.excludes(0, upstream, reads));
         assertFalse(ejection.excludes(0, upstream, writes));
-        ejection.served(upstream, reads);
+        ejection.recordClassSuccess(upstream, reads);
         assertFalse(ejection.excludes(0, upstream, reads));
         assertEquals(
                 List.of(
@@ -91,7 +91,7 @@
             assertTrue(ejection.excludes(nowMs + gapMs - 1, upstream, reads), gapMs + " ms");
             assertFalse(ejection.excludes(nowMs + gapMs, upstream, reads), gapMs + " ms");
             nowMs += gapMs;
-            ejection.sent(nowMs, upstream, reads);
+            ejection.recordAttempt(nowMs, upstream, reads);
         }
     }
 
@@ -100,10 +100,10 @@
         ejection.eject(0, upstream, "for the test");
         ejection.eject(1, upstream, "a second time, which is not told");
         upstream.share = 0.01;
-        ejection.answered(2, upstream, 4);
+        ejection.recordAnswer(2, upstream, 4);
         assertEquals(0.25, upstream.share); // the mean of four
         upstream.share = 0.01;
-        ejection.answered(3, upstream, 4);
+        ejection.recordAnswer(3, upstream, 4);
         assertEquals(0.01, upstream.share); // it was not ejected any more
         assertFalse(ejection.excludes(3, upstream, reads));
         assertEquals(
@@ -117,9 +117,9 @@
     void oneSilentAttemptMayTakeAsLongAsTheTailOfItsClass() {
         Attempt oldest = sent(1000);
         reads.tail = 8;
-        ejection.checkSilence(1000 + 8 * TYPICAL_MS, upstream, oldest);
+        ejection.checkUnresponsive(1000 + 8 * TYPICAL_MS, upstream, oldest);
         assertEquals(List.of(), logs);
-        ejection.checkSilence(1000 + 8 * TYPICAL_MS + 1, upstream, oldest);
+        ejection.checkUnresponsive(1000 + 8 * TYPICAL_MS + 1, upstream, oldest);
         assertEquals(List.of("upstream 3 is set aside, silent for 801 ms; trying it now and then"), logs);
     }
 
@@ -129,17 +129,17 @@
         sent(1000);
         sent(1000);
         sent(1000);
-        ejection.checkSilence(1000 + 2 * TYPICAL_MS, upstream, oldest);
+        ejection.checkUnresponsive(1000 + 2 * TYPICAL_MS, upstream, oldest);
         assertFalse(upstream.probation.ejected);
-        ejection.checkSilence(1000 + 2 * TYPICAL_MS + 1, upstream, oldest);
+        ejection.checkUnresponsive(1000 + 2 * TYPICAL_MS + 1, upstream, oldest);
         assertTrue(upstream.probation.ejected);
     }
 
     @Test
     void anotherAnswerInTheMeantimeIsNoSilence() {
         Attempt oldest = sent(1000);
-        ejection.answered(1500, upstream, 4);
-        ejection.checkSilence(1500 + 8 * TYPICAL_MS, upstream, oldest);
+        ejection.recordAnswer(1500, upstream, 4);
+        ejection.checkUnresponsive(1500 + 8 * TYPICAL_MS, upstream, oldest);
         assertFalse(upstream.probation.ejected);
     }
 }
--- a/sidecar/src/test/java/gradehub/RetryPolicyTest.java
+++ b/sidecar/src/test/java/gradehub/RetryPolicyTest.java
@@ -43,8 +43,8 @@
     void theBudgetBeginsHalfFullAndIsSpentByRetries() {
         Call call = sent(Effect.SAFE, Group.ALL, Outcome.ERROR);
         int resent = 0;
-        while (retries.allows(0, call, 3)) {
-            retries.sending(call);
+        while (retries.allowsRetry(0, call, 3)) {
+            retries.recordAttempt(call);
             resent++;
         }
         assertEquals(10, resent);
@@ -54,47 +54,47 @@
     void fourRequestsEarnOneRetryUpToTwenty() {
         Call call = sent(Effect.SAFE, Group.ALL, Outcome.ERROR);
         for (int i = 0; i < 10; i++) {
-            retries.sending(call);
+            retries.recordAttempt(call);
         }
         for (int i = 0; i < 3; i++) {
-            retries.requested();
+            retries.recordRequest();
         }
-        assertFalse(retries.allows(0, call, 3));
-        retries.requested();
-        assertTrue(retries.allows(0, call, 3));
+        assertFalse(retries.allowsRetry(0, call, 3));
+        retries.recordRequest();
+        assertTrue(retries.allowsRetry(0, call, 3));
         for (int i = 0; i < 1000; i++) {
-            retries.requested();
+            retries.recordRequest();
         }
         for (int i = 0; i < 19; i++) {
-            retries.sending(call);
+            retries.recordAttempt(call);
         }
-        assertTrue(retries.allows(0, call, 3));
-        retries.sending(call);
-        assertFalse(retries.allows(0, call, 3));
+        assertTrue(retries.allowsRetry(0, call, 3));
+        retries.recordAttempt(call);
+        assertFalse(retries.allowsRetry(0, call, 3));
     }
 
     @Test
     void firstAttemptsTakeNothingFromTheBudget() {
         for (int i = 0; i < 100; i++) {
-            retries.sending(call(Effect.SAFE, Group.ALL));
+            retries.recordAttempt(call(Effect.SAFE, Group.ALL));
         }
-        assertTrue(retries.allows(0, sent(Effect.SAFE, Group.ALL, Outcome.ERROR), 3));
+        assertTrue(retries.allowsRetry(0, sent(Effect.SAFE, Group.ALL, Outcome.ERROR), 3));
     }
 
     @Test
     void noMoreAttemptsThanTheLimit() {
         Call call = sent(Effect.SAFE, Group.ALL, Outcome.ERROR);
         call.begin(upstream(2), 0);
-        assertTrue(retries.allows(0, call, 3));
+        assertTrue(retries.allowsRetry(0, call, 3));
         call.begin(upstream(3), 0);
-        assertFalse(retries.allows(0, call, 3));
+        assertFalse(retries.allowsRetry(0, call, 3));
     }
 
     @Test
     void noRetryThatWouldHardlyBeInTime() {
         Call call = sent(Effect.SAFE, Group.ALL, Outcome.ERROR);
-        assertTrue(retries.allows(USEFUL_UNTIL_MS - TYPICAL_MS, call, 3));
-        assertFalse(retries.allows(USEFUL_UNTIL_MS - TYPICAL_MS + 1, call, 3));
+        assertTrue(retries.allowsRetry(USEFUL_UNTIL_MS - TYPICAL_MS, call, 3));
+        assertFalse(retries.allowsRetry(USEFUL_UNTIL_MS - TYPICAL_MS + 1, call, 3));
     }
 
     @Test
@@ -102,39 +102,39 @@
         for (Outcome outcome : Outcome.values()) {
             assertEquals(
                     outcome.provesNotRun(),
-                    retries.allows(0, sent(Effect.UNSAFE, Group.ALL, outcome), 3),
+                    retries.allowsRetry(0, sent(Effect.UNSAFE, Group.ALL, outcome), 3),
                     outcome.name());
         }
-        assertFalse(retries.allows(0, sent(Effect.UNSAFE, Group.ALL, null), 3));
+        assertFalse(retries.allowsRetry(0, sent(Effect.UNSAFE, Group.ALL, null), 3));
     }
 
     @Test
     void aKeyedRequestThatMayHaveRunStaysInItsGroup() {
         Call zonal = sent(Effect.KEYED, Group.ZONE, Outcome.TIMEOUT);
-        assertTrue(retries.allowsAt(1, zonal, upstream(3)));
-        assertFalse(retries.allowsAt(1, zonal, upstream(4)));
+        assertTrue(retries.allowsRetryAt(1, zonal, upstream(3)));
+        assertFalse(retries.allowsRetryAt(1, zonal, upstream(4)));
         Call cellular = sent(Effect.KEYED, Group.CELL, null);
-        assertFalse(retries.allowsAt(1, cellular, upstream(3)));
-        assertTrue(retries.allowsAt(1, cellular, upstream(4)));
-        assertTrue(retries.allowsAt(1, sent(Effect.KEYED, Group.ALL, Outcome.RESET), upstream(2)));
+        assertFalse(retries.allowsRetryAt(1, cellular, upstream(3)));
+        assertTrue(retries.allowsRetryAt(1, cellular, upstream(4)));
+        assertTrue(retries.allowsRetryAt(1, sent(Effect.KEYED, Group.ALL, Outcome.RESET), upstream(2)));
     }
 
     @Test
     void aKeyedRequestThatMayHaveRunIsNotSentOnceItsKeyMayBeForgotten() {
         Call call = sent(Effect.KEYED, Group.ALL, Outcome.TIMEOUT); // for 600 ms, by Samples
-        assertTrue(retries.allowsAt(599, call, upstream(2)));
-        assertFalse(retries.allowsAt(600, call, upstream(2)));
-        assertTrue(retries.allowsAt(600, sent(Effect.KEYED, Group.ZONE, Outcome.REJECTED), upstream(2)));
-        assertTrue(retries.allowsAt(600, sent(Effect.SAFE, Group.ZONE, Outcome.TIMEOUT), upstream(2)));
+        assertTrue(retries.allowsRetryAt(599, call, upstream(2)));
+        assertFalse(retries.allowsRetryAt(600, call, upstream(2)));
+        assertTrue(retries.allowsRetryAt(600, sent(Effect.KEYED, Group.ZONE, Outcome.REJECTED), upstream(2)));
+        assertTrue(retries.allowsRetryAt(600, sent(Effect.SAFE, Group.ZONE, Outcome.TIMEOUT), upstream(2)));
     }
 
     @Test
     void aRefusalNeverInvitesToRunTwiceWhatMustNot() {
-        assertTrue(retries.isRepeatHarmless(sent(Effect.SAFE, Group.ZONE, Outcome.TIMEOUT)));
-        assertTrue(retries.isRepeatHarmless(sent(Effect.KEYED, Group.ALL, Outcome.TIMEOUT)));
-        assertFalse(retries.isRepeatHarmless(sent(Effect.KEYED, Group.ZONE, Outcome.TIMEOUT)));
-        assertFalse(retries.isRepeatHarmless(sent(Effect.UNSAFE, Group.ALL, Outcome.TIMEOUT)));
-        assertTrue(retries.isRepeatHarmless(sent(Effect.UNSAFE, Group.ALL, Outcome.CONNECT_FAILED)));
-        assertTrue(retries.isRepeatHarmless(call(Effect.UNSAFE, Group.ALL)));
+        assertTrue(retries.isSafeToRepeat(sent(Effect.SAFE, Group.ZONE, Outcome.TIMEOUT)));
+        assertTrue(retries.isSafeToRepeat(sent(Effect.KEYED, Group.ALL, Outcome.TIMEOUT)));
+        assertFalse(retries.isSafeToRepeat(sent(Effect.KEYED, Group.ZONE, Outcome.TIMEOUT)));
+        assertFalse(retries.isSafeToRepeat(sent(Effect.UNSAFE, Group.ALL, Outcome.TIMEOUT)));
+        assertTrue(retries.isSafeToRepeat(sent(Effect.UNSAFE, Group.ALL, Outcome.CONNECT_FAILED)));
+        assertTrue(retries.isSafeToRepeat(call(Effect.UNSAFE, Group.ALL)));
     }
 }
--- a/sidecar/src/test/java/gradehub/SlowStartTest.java
+++ b/sidecar/src/test/java/gradehub/SlowStartTest.java
@@ -18,14 +18,14 @@
     private final TokenBucket budget = new TokenBucket();
 
     private double warmth(double nowMs, double startedMs) {
-        return slowStart.warmth(nowMs, Sidecar.upstream(1, Status.READY, startedMs));
+        return slowStart.capacityFraction(nowMs, Sidecar.upstream(1, Status.READY, startedMs));
     }
 
     /** Lets the rate settle at this many attempts in each tick. */
     private void sendEachTick(int attempts) {
         for (int tick = 0; tick < 60; tick++) {
             for (int i = 0; i < attempts; i++) {
-                slowStart.sent(new TokenBucket(), 0);
+                slowStart.recordAttempt(new TokenBucket(), 0);
             }
             slowStart.tick();
         }
@@ -33,11 +33,11 @@
 
     /** The attempts that a cold upstream is sent from 0 to {@code untilMs}, each as soon as it may be. */
     private int admitted(double untilMs, double warmth, double part, double costMs) {
-        budget.start(0, 0);
+        budget.reset(0, 0);
         int admitted = 0;
         for (double nowMs = 1; nowMs <= untilMs; nowMs++) {
             while (slowStart.admits(nowMs, budget, warmth, part)) {
-                slowStart.sent(budget, costMs);
+                slowStart.recordAttempt(budget, costMs);
                 admitted++;
             }
         }
@@ -67,8 +67,8 @@
     void heavyRequestsUseUpMoreOfTheBudget() {
         sendEachTick(100);
         for (int i = 0; i < 100; i++) {
-            slowStart.requested(10);
-            slowStart.requested(0); // tells nothing of the mean
+            slowStart.recordRequest(10);
+            slowStart.recordRequest(0); // tells nothing of the mean
         }
         assertEquals(50, admitted(10_000, 0.5, 0.2, 30), 1);
     }
@@ -77,10 +77,10 @@
     void aSlowContractAllowsLess() {
         SlowStart careful = new SlowStart(new Contract(0.25, 10_000, 2, 2000, 10_000));
         for (int i = 0; i < 1000; i++) {
-            careful.sent(new TokenBucket(), 0);
+            careful.recordAttempt(new TokenBucket(), 0);
         }
         careful.tick(); // half of 1 attempt a ms; the rate is half of the factor: 1
-        budget.start(0, 0);
+        budget.reset(0, 0);
         assertFalse(careful.admits(19, budget, 0.5, 0.2));
         assertTrue(careful.admits(20, budget, 0.5, 0.2));
     }
@@ -88,11 +88,11 @@
     @Test
     void aBudgetThatIsNotUsedLapses() {
         sendEachTick(100);
-        budget.start(0, 0);
+        budget.reset(0, 0);
         slowStart.admits(60_000, budget, 0.5, 0.2); // 15 a second for a minute
         int saved = 0;
         while (slowStart.admits(60_000, budget, 0.5, 0.2)) {
-            slowStart.sent(budget, 0);
+            slowStart.recordAttempt(budget, 0);
             saved++;
         }
         assertEquals(4, saved); // one, and what a quarter of a tick brings
@@ -100,7 +100,7 @@
 
     @Test
     void withoutAttemptsThereIsNoBudget() {
-        budget.start(0, 0);
+        budget.reset(0, 0);
         assertFalse(slowStart.admits(100_000, budget, 1, 1));
     }
 }
--- a/sidecar/src/test/java/gradehub/SubscriptionTest.java
+++ b/sidecar/src/test/java/gradehub/SubscriptionTest.java
@@ -45,9 +45,12 @@
     @Test
     void howeverOftenCallsFailTheNextOneFitsIntoTheTimeToBeTold() {
         assertTrue(
-                ListTimes.SILENCE_MS + ListTimes.PAUSE_MS + ListTimes.CONNECT_MS < ListTimes.TOLD_MS - 1000,
+                DiscoveryTimeouts.IDLE_TIMEOUT_MS
+                                + DiscoveryTimeouts.MAX_DELAY_MS
+                                + DiscoveryTimeouts.CONNECT_TIMEOUT_MS
+                        < DiscoveryTimeouts.UPDATE_DEADLINE_MS - 1000,
                 "a second at least for discovery to answer");
-        assertTrue(ListTimes.SILENCE_MS > 2000, "an empty line comes every 2 s");
+        assertTrue(DiscoveryTimeouts.IDLE_TIMEOUT_MS > 2000, "an empty line comes every 2 s");
         List<Double> delays = new ArrayList<>();
         for (int seed = 0; seed < 20; seed++) {
             Sidecar sidecar = new Sidecar(
@@ -60,7 +63,8 @@
                 while (sidecar.subscriptions == call) {
                     sidecar.pass(1);
                 }
-                assertTrue(sidecar.now - from <= ListTimes.PAUSE_MS + 1, "it waits " + (sidecar.now - from));
+                assertTrue(
+                        sidecar.now - from <= DiscoveryTimeouts.MAX_DELAY_MS + 1, "it waits " + (sidecar.now - from));
                 delays.add(sidecar.now - from);
             }
         }
