--- a/sidecar/src/test/java/gradehub/RetryPolicyTest.java
+++ b/sidecar/src/test/java/gradehub/RetryPolicyTest.java
@@ -122,10 +122,10 @@
     @Test
     void aKeyedRequestThatMayHaveRunIsNotSentOnceItsKeyMayBeForgotten() {
         Call call = sent(Effect.KEYED, Group.ALL, Outcome.TIMEOUT); // for 600 ms, by TestSettings
-        assertTrue(retries.allowsAt(599, call, upstream(2)));
-        assertFalse(retries.allowsAt(600, call, upstream(2)));
-        assertTrue(retries.allowsAt(600, sent(Effect.KEYED, Group.ZONE, Outcome.REJECTED), upstream(2)));
-        assertTrue(retries.allowsAt(600, sent(Effect.SAFE, Group.ZONE, Outcome.TIMEOUT), upstream(2)));
+        assertTrue(retries.allowsRetryAt(599, call, upstream(2)));
+        assertFalse(retries.allowsRetryAt(600, call, upstream(2)));
+        assertTrue(retries.allowsRetryAt(600, sent(Effect.KEYED, Group.ZONE, Outcome.REJECTED), upstream(2)));
+        assertTrue(retries.allowsRetryAt(600, sent(Effect.SAFE, Group.ZONE, Outcome.TIMEOUT), upstream(2)));
     }
 
     @Test
--- a/sidecar/src/test/java/gradehub/SlowStartTest.java
+++ b/sidecar/src/test/java/gradehub/SlowStartTest.java
@@ -18,7 +18,7 @@
     private final TokenBucket budget = new TokenBucket();
 
     private double warmth(double nowMs, double startedMs) {
-        return slowStart.warmth(nowMs, FakeSidecar.upstream(1, Status.READY, startedMs));
+        return slowStart.capacityFraction(nowMs, FakeSidecar.upstream(1, Status.READY, startedMs));
     }
 
     /** Lets the rate settle at this many attempts in each tick. */
