--- a/sidecar/src/main/java/gradehub/AdmissionControl.java
+++ b/sidecar/src/main/java/gradehub/AdmissionControl.java
@@ -5,24 +5,24 @@
 import java.util.List;
 
 /**
- * Which requests are refused as they come. Each holds a connection of its client, and clients have only so
- * many: when few are left, the less a request is worth for the time that it holds one, the more must be left
- * for others. That hurts where clients can open more than the node knows of.
+ * Decides which requests are refused on arrival. Each request holds a connection of its client, and clients
+ * have a limited number of them: the fewer are free, the higher the value per unit of time that a request
+ * needs. The rule costs throughput where clients can open more connections than the sidecar knows of.
  */
 final class AdmissionControl {
 
-    private static final double KEPT_FREE = 1.2; // of the root of the connections, for the worthiest
-    private static final double WELL_SERVED = 0.9; // of a class: under it the worst one goes first
-    private static final double THROTTLE = 1.4; // attempts for each in time, beyond which some are refused
-    private static final double REMEMBERED = 0.85; // of the attempts that ended, from tick to tick
+    private static final double RESERVE = 1.2; // square roots of the limit, reserved for the best requests
+    private static final double WELL_SERVED = 0.9; // part of a class; below it the worst-served one gains value
+    private static final double THROTTLE = 1.4; // attempts accepted for each one that ends in time
+    private static final double DECAY = 0.85; // per tick, of the counts of ended attempts
 
-    int maxConnections; // that clients can hold at once; 0 where it is not known
+    int maxConnections; // that clients can hold at once; 0 if unknown
     private final Balancer.Goal goal;
     private final List<ClassStats> classes;
-    private double ended; // attempts, older ones counting less
-    private double inTime; // of them
-    private int yielded; // requests in this tick
-    private boolean yielding;
+    private double ended; // attempts, decayed
+    private double inTime; // attempts that ended in time, decayed
+    private int refused; // requests selected in this tick
+    private boolean refusing;
 
     AdmissionControl(Balancer.Goal goal, List<ClassStats> classes) {
         this.goal = goal;
@@ -34,14 +34,14 @@
         inTime += wasInTime ? 1 : 0;
     }
 
-    /** What an answer adds to the goal: to the whole and to a worst class that fares badly. */
+    /** What an answer adds to the goal: a part of the whole, and a bonus for a poorly served class. */
     double answerValue(ClassStats stats) {
         double offered = classes.stream()
                 .mapToDouble(other -> other.offered * other.spec.worth())
                 .sum();
-        boolean starved = stats.served < WELL_SERVED * stats.offered && isServedWorst(stats);
-        double lift = starved ? goal.worstClass() * offered / stats.offered : 0;
-        return goal.whole() * stats.spec.worth() + lift;
+        boolean underserved = stats.served < WELL_SERVED * stats.offered && isServedWorst(stats);
+        double bonus = underserved ? goal.worstClass() * offered / stats.offered : 0;
+        return goal.whole() * stats.spec.worth() + bonus;
     }
 
     private boolean isServedWorst(ClassStats stats) {
@@ -53,24 +53,24 @@
         return true;
     }
 
-    /** Whether a request hardly earns: there is too little time left, for its class or by its hint. */
+    /** Whether the time left is too short for a useful answer, by the class's latency or the cost hint. */
     static boolean isTooLate(double nowMs, Call call) {
         return call.usefulUntilMs - nowMs <= Math.max(call.stats.typicalMs / 2, call.costMs);
     }
 
-    /** Whether a request is refused, by a draw from 0 to 1, since most attempts come late. */
+    /** Whether to refuse a request because most attempts end late; {@code draw} is random, from 0 to 1. */
     boolean shouldThrottle(double draw) {
         return draw > THROTTLE * ((1 + inTime) / (1 + ended));
     }
 
-    /** The request that must leave its connection to worthier ones: this new one, one that waits, or null. */
-    Call selectRefused(Call call, int open, Collection<Call> waiting) {
-        double kept = KEPT_FREE * Math.sqrt(maxConnections); // what comes at once by chance grows so
-        double left = maxConnections - open;
-        if (maxConnections == 0 || left >= kept) {
+    /** The request to refuse so that its connection becomes free: the new one, a queued one, or null. */
+    Call selectRefused(Call call, int open, Collection<Call> queued) {
+        double reserved = RESERVE * Math.sqrt(maxConnections); // random bursts grow with the square root
+        double free = maxConnections - open;
+        if (maxConnections == 0 || free >= reserved) {
             return null;
         }
-        Call least = waiting.stream()
+        Call least = queued.stream()
                 .min(Comparator.comparingDouble(Call::worthPerMs))
                 .orElse(call);
         if (least.worthPerMs() >= call.worthPerMs()) {
@@ -79,22 +79,22 @@
                     .mapToDouble(stats -> answerValue(stats) / stats.typicalMs)
                     .max()
                     .orElse(0);
-            least = left < kept * (1 - call.worthPerMs() / best) ? call : null;
+            least = free < reserved * (1 - call.worthPerMs() / best) ? call : null;
         }
-        yielded += least == null ? 0 : 1;
+        refused += least == null ? 0 : 1;
         return least;
     }
 
     void tick(Balancer.Actions actions) {
-        ended *= REMEMBERED;
-        inTime *= REMEMBERED;
-        if (yielded > 0 != yielding) {
-            yielding = yielded > 0;
+        ended *= DECAY;
+        inTime *= DECAY;
+        if (refused > 0 != refusing) {
+            refusing = refused > 0;
             actions.log(
-                    yielding
-                            ? "clients run out of connections: refusing what is worth least for its time"
-                            : "clients have connections left again");
+                    refusing
+                            ? "client connections are running out: refusing requests of least value per time"
+                            : "client connections are available again");
         }
-        yielded = 0;
+        refused = 0;
     }
 }
--- a/sidecar/src/main/java/gradehub/ConcurrencyLimit.java
+++ b/sidecar/src/main/java/gradehub/ConcurrencyLimit.java
@@ -1,42 +1,42 @@
 package gradehub;
 
 /**
- * How many attempts this sidecar may have in flight at one upstream. Guards against queues, and upstreams
- * that jam: answers quicker than a crowded upstream's raise the limit, slower ones lower it. Below one
- * attempt it sets a pace, since many sidecars with one attempt each jam an upstream too.
+ * An adaptive limit on this sidecar's attempts in flight at one upstream. Protects against queues and jammed
+ * upstreams: answers faster than those of a crowded upstream raise the limit, slower ones lower it. Below one
+ * attempt it becomes a minimum interval, since many sidecars with one attempt each also jam an upstream.
  */
 final class ConcurrencyLimit {
 
-    private static final double MOST_RAISED = 0.25; // attempts, by one quick answer
-    private static final double MOST_LOWERED = 0.5; // attempts, by one slow answer
+    private static final double MAX_INCREASE = 0.25; // attempts, per fast answer
+    private static final double MAX_DECREASE = 0.5; // attempts, per slow answer
 
-    private double attempts;
+    private double limit; // attempts
     private double nextSendMs;
 
-    void reset(double firstAttempts) {
-        attempts = Math.max(1, firstAttempts);
+    void reset(double initialLimit) {
+        limit = Math.max(1, initialLimit);
     }
 
-    /** Whether one more attempt may be sent; an upstream that is warm in part gets that part of the limit. */
-    boolean admits(double nowMs, int inFlight, double warmth) {
-        return inFlight < Math.max(1, attempts * warmth) && nowMs >= nextSendMs;
+    /** Whether one more attempt may be sent; a cold upstream gets {@code capacityFraction} of the limit. */
+    boolean admits(double nowMs, int inFlight, double capacityFraction) {
+        return inFlight < Math.max(1, limit * capacityFraction) && nowMs >= nextSendMs;
     }
 
     boolean atMostOne() {
-        return attempts <= 1;
+        return limit <= 1;
     }
 
     /**
-     * Moves the limit after an answer, not under {@code minimum}. {@code headroom} is the part by which
-     * it was quicker than a crowded upstream's, negative if slower; a pace is so many {@code typicalMs}.
+     * Adapts the limit to an answer, down to {@code minimum}. {@code headroom} is the part by which the answer
+     * was faster than a crowded upstream's, negative if slower. Intervals are multiples of {@code typicalMs}.
      */
     void adjust(double nowMs, int inFlight, double headroom, double minimum, double typicalMs) {
-        double change = Math.min(MOST_RAISED, headroom);
+        double change = Math.min(MAX_INCREASE, headroom);
         if (change < 0) {
-            attempts = Math.max(minimum, attempts + Math.max(-MOST_LOWERED, change) * Math.min(1, attempts));
-            nextSendMs = nowMs + typicalMs * Math.max(0, 1 / attempts - 1);
-        } else if (inFlight + 1 >= attempts / 2) {
-            attempts = Math.max(1, attempts + change);
+            limit = Math.max(minimum, limit + Math.max(-MAX_DECREASE, change) * Math.min(1, limit));
+            nextSendMs = nowMs + typicalMs * Math.max(0, 1 / limit - 1);
+        } else if (inFlight + 1 >= limit / 2) {
+            limit = Math.max(1, limit + change);
         }
     }
 }
--- a/sidecar/src/main/java/gradehub/DiscoveryTimeouts.java
+++ b/sidecar/src/main/java/gradehub/DiscoveryTimeouts.java
@@ -1,22 +1,22 @@
 package gradehub;
 
 /**
- * Timeouts that bring a new list of upstreams in time after an outage of discovery. In the worst case
- * IDLE_TIMEOUT_MS + MAX_DELAY_MS + CONNECT_TIMEOUT_MS + ANSWER_TIME_MS = UPDATE_DEADLINE_MS pass.
+ * Timeouts that bound the time to a new list once discovery can be reached. In the worst case a call has just
+ * hung: IDLE_TIMEOUT_MS + MAX_DELAY_MS + CONNECT_TIMEOUT_MS + ANSWER_TIME_MS = UPDATE_DEADLINE_MS.
  */
 public final class DiscoveryTimeouts {
 
-    /** The protocol's time from when discovery has a change, and can be reached, until it counts as told. */
+    /** The protocol's limit from a change, with discovery reachable, until sidecars are taken to know it. */
     static final double UPDATE_DEADLINE_MS = 6000;
-    /** The protocol's time between two lines of a watch on which nothing changes. */
+    /** The protocol's interval between two lines of a watch while nothing changes. */
     private static final double LINE_INTERVAL_MS = 2000;
-    /** A call that is silent for so long is given up: a line is due, and half the time to the next over. */
+    /** Closes a call that receives nothing: a line is overdue by half an interval. */
     public static final double IDLE_TIMEOUT_MS = 1.5 * LINE_INTERVAL_MS;
-    /** A connection that is not up by then is given up, or sooner where the settings say so. */
+    /** Limit on the time to connect; settings may state a shorter one. */
     public static final double CONNECT_TIMEOUT_MS = LINE_INTERVAL_MS / 4;
-    /** For discovery to answer, with all the calls of the other sidecars before this one. */
+    /** Time allowed for discovery to answer after the calls of all other sidecars. */
     private static final double ANSWER_TIME_MS = UPDATE_DEADLINE_MS / 4;
-    /** The longest wait from the end of a call to the next one, what chance adds to it included. */
+    /** Longest delay from the end of a call to the next one, jitter included. */
     public static final double MAX_DELAY_MS =
             UPDATE_DEADLINE_MS - IDLE_TIMEOUT_MS - CONNECT_TIMEOUT_MS - ANSWER_TIME_MS;
 
--- a/sidecar/src/main/java/gradehub/EjectionState.java
+++ b/sidecar/src/main/java/gradehub/EjectionState.java
@@ -1,25 +1,25 @@
 package gradehub;
 
-/** Failures in a row and, once they have led to an ejection, when the next trial is due: ever rarer. */
+/** Consecutive failures and, after an ejection, the time of the next trial request (exponential backoff). */
 final class EjectionState {
 
-    private static final double FIRST_GAP_MS = 250; // doubled before each trial, the first one too
-    private static final double LONGEST_GAP_MS = 4000;
+    private static final double INITIAL_BACKOFF_MS = 250; // doubled before each trial, including the first
+    private static final double MAX_BACKOFF_MS = 4000;
 
     int failures;
     boolean ejected;
     private double nextTrialMs;
-    private double gapMs;
+    private double backoffMs;
 
     void eject(double nowMs) {
         ejected = true;
-        gapMs = FIRST_GAP_MS;
+        backoffMs = INITIAL_BACKOFF_MS;
         trialSent(nowMs);
     }
 
     void trialSent(double nowMs) {
-        gapMs = Math.min(2 * gapMs, LONGEST_GAP_MS);
-        nextTrialMs = nowMs + gapMs;
+        backoffMs = Math.min(2 * backoffMs, MAX_BACKOFF_MS);
+        nextTrialMs = nowMs + backoffMs;
     }
 
     boolean excludes(double nowMs) {
--- a/sidecar/src/main/java/gradehub/LoadShedder.java
+++ b/sidecar/src/main/java/gradehub/LoadShedder.java
@@ -5,33 +5,33 @@
 import java.util.TreeSet;
 
 /**
- * The requests that wait while all members are full, and which of them are shed. Guards against overload: the
- * worthiest go first, the newest of them before older ones; what could no longer earn is shed.
+ * The queue of requests that wait while all members at their limits. Protects against overload: it serves
+ * by value, then newest first, and sheds requests that can no longer be answered in time.
  */
 final class LoadShedder {
 
-    private static final double LAST_CALL = 2.5; // typical latencies before the aim, when waiting ends
-    private static final double LONGEST_CALL = 0.65; // of the aim, for that
+    private static final double MIN_TIME_LEFT = 2.5; // typical latencies; a request with less left is shed
+    private static final double MIN_TIME_LEFT_CAP = 0.65; // of the class's aim, for that
 
     final TreeSet<Call> queue = new TreeSet<>(
             Comparator.comparingDouble((Call call) -> -call.value).thenComparingLong(call -> -call.order));
-    private int shed; // in this tick
+    private int shed; // requests in this tick
     private boolean shedding;
 
-    /** Takes out what could no longer earn until the next control tick, for the caller to refuse. */
+    /** Removes the requests that will be too late by the next control tick, for the caller to refuse. */
     List<Call> shed(double nowMs, double controlMs) {
         List<Call> late = queue.stream()
-                .filter(call -> call.usefulUntilMs - nowMs <= Math.max(controlMs, lastCallMs(call.stats)))
+                .filter(call -> call.usefulUntilMs - nowMs <= Math.max(controlMs, minTimeLeftMs(call.stats)))
                 .toList();
         shed += late.size();
         late.forEach(queue::remove);
         return late;
     }
 
-    /** The client holds a connection for what waits; but where all is slow the worthiest come first. */
-    private static double lastCallMs(ClassStats stats) {
-        double mostMs = LONGEST_CALL * stats.spec.aimMs();
-        return Math.max(stats.typicalMs, Math.min(LAST_CALL * stats.typicalMs, mostMs));
+    /** Shedding early frees the client's connection; the cap keeps the order by value where all is slow. */
+    private static double minTimeLeftMs(ClassStats stats) {
+        double capMs = MIN_TIME_LEFT_CAP * stats.spec.aimMs();
+        return Math.max(stats.typicalMs, Math.min(MIN_TIME_LEFT * stats.typicalMs, capMs));
     }
 
     boolean hasShed() {
@@ -41,7 +41,7 @@
     void tick(Balancer.Actions actions) {
         if (hasShed() != shedding) {
             shedding = hasShed();
-            actions.log(shedding ? "all members full: refusing requests" : "nothing refused any more");
+            actions.log(shedding ? "all members at their limits: shedding requests" : "load shedding ended");
         }
         shed = 0;
     }
--- a/sidecar/src/main/java/gradehub/OutlierEjection.java
+++ b/sidecar/src/main/java/gradehub/OutlierEjection.java
@@ -1,15 +1,15 @@
 package gradehub;
 
 /**
- * Takes upstreams out of the draw that are silent (hung, paused, out of reach) or fail. Acts on silence of
- * the attempts in flight, or on failures in a row: of one class for that class alone, where others are
- * served. An upstream returns by an answer, to ever rarer trials.
+ * Takes upstreams out of the draw that are unresponsive (hung, paused, unreachable) or fail: by the silence
+ * of the attempts in flight or by consecutive failures. Failures of one class eject for that class alone if
+ * others are served. An answer ends an ejection; trial requests follow an exponential backoff.
  */
 final class OutlierEjection {
 
-    private static final int CONSECUTIVE_FAILURES = 3; // that are hardly chance
-    private static final double SILENCE = 3; // typical latencies, over the attempts in flight, that tell
-    private static final double LEAST_SILENCE = 1.5; // the same, however many attempts are in flight
+    private static final int CONSECUTIVE_FAILURES = 3; // unlikely by chance
+    private static final double SILENCE = 3; // typical latencies, divided by the attempts in flight
+    private static final double MIN_SILENCE = 1.5; // typical latencies, however many attempts are in flight
 
     private final Balancer.Actions actions;
 
@@ -33,10 +33,10 @@
         whole.failures++;
         ofClass.failures++;
         if (whole.failures >= CONSECUTIVE_FAILURES) {
-            eject(nowMs, upstream, "it failed " + whole.failures + " times in a row");
+            eject(nowMs, upstream, whole.failures + " consecutive failures");
         } else if (!whole.ejected && !ofClass.ejected && ofClass.failures >= CONSECUTIVE_FAILURES) {
-            actions.log(upstream + " is set aside for " + stats.spec.name() + " alone, which it failed "
-                    + ofClass.failures + " times in a row; trying it now and then");
+            actions.log(upstream + " is ejected for class " + stats.spec.name() + " alone: " + ofClass.failures
+                    + " consecutive failures; sending trial requests");
             ofClass.eject(nowMs);
         }
     }
@@ -46,7 +46,7 @@
         ofClass.failures = 0;
         if (ofClass.ejected) {
             ofClass.ejected = false;
-            actions.log(upstream + " serves " + stats.spec.name() + " again");
+            actions.log(upstream + " serves class " + stats.spec.name() + " again");
         }
     }
 
@@ -55,24 +55,24 @@
         upstream.probation.failures = 0;
         if (upstream.probation.ejected) {
             upstream.probation.ejected = false;
-            actions.log(upstream + " answers again and is back in the draw");
-            upstream.share = Math.max(upstream.share, 1.0 / members); // else a cut share hardly climbs back
+            actions.log(upstream + " answers again: ejection ended");
+            upstream.share = Math.max(upstream.share, 1.0 / members); // a reduced share would hardly recover
         }
     }
 
     /** Ejects an upstream that is silent for too long; {@code oldest} is its oldest attempt in flight. */
     void checkUnresponsive(double nowMs, UpstreamState upstream, Attempt oldest) {
         double silentMs = nowMs - Math.max(upstream.heardMs, oldest.sentMs);
-        // One attempt alone is often slow by chance; several that wait together hardly are.
-        double enough = Math.max(SILENCE, oldest.call.stats.tail) / upstream.inFlight;
-        if (silentMs > Math.max(LEAST_SILENCE, enough) * oldest.call.stats.typicalMs) {
-            eject(nowMs, upstream, "silent for " + Math.round(silentMs) + " ms");
+        // A single attempt is often slow by chance; several at once hardly are.
+        double threshold = Math.max(SILENCE, oldest.call.stats.tail) / upstream.inFlight;
+        if (silentMs > Math.max(MIN_SILENCE, threshold) * oldest.call.stats.typicalMs) {
+            eject(nowMs, upstream, "no answer for " + Math.round(silentMs) + " ms");
         }
     }
 
     void eject(double nowMs, UpstreamState upstream, String reason) {
         if (!upstream.probation.ejected) {
-            actions.log(upstream + " is set aside, " + reason + "; trying it now and then");
+            actions.log(upstream + " is ejected: " + reason + "; sending trial requests");
             upstream.probation.eject(nowMs);
         }
     }
--- a/sidecar/src/main/java/gradehub/RetryPolicy.java
+++ b/sidecar/src/main/java/gradehub/RetryPolicy.java
@@ -1,26 +1,26 @@
 package gradehub;
 
 /**
- * Which requests get a further attempt, as a retry or a second copy, and where. Guards against retry storms,
- * by a budget that each new request adds to, and against running twice what must not.
+ * Decides which requests get another attempt, as a retry or a second copy, and where. Protects against retry
+ * storms with a budget that each new request adds to, and against running an unsafe request twice.
  */
 final class RetryPolicy {
 
-    private static final double EARNED = 0.25; // attempts, by each request
-    private static final double MOST_SAVED = 20; // attempts
+    private static final double BUDGET_PER_REQUEST = 0.25; // attempts
+    private static final double MAX_BUDGET = 20; // attempts
 
-    private double budget = MOST_SAVED / 2;
+    private double budget = MAX_BUDGET / 2;
 
     void recordRequest() {
-        budget = Math.min(MOST_SAVED, budget + EARNED);
+        budget = Math.min(MAX_BUDGET, budget + BUDGET_PER_REQUEST);
     }
 
-    /** Notes an attempt that is about to be sent; the first one is free. */
+    /** Charges an attempt that is about to be sent; the first one of a request is free. */
     void recordAttempt(Call call) {
         budget -= call.attempts.isEmpty() ? 0 : 1;
     }
 
-    /** Whether a request may have a further attempt, if an upstream is found for it. */
+    /** Whether a request may have another attempt, if an upstream is found for it. */
     boolean allowsRetry(double nowMs, Call call, int maxAttempts) {
         return budget >= 1
                 && call.attempts.size() < maxAttempts
@@ -28,7 +28,7 @@
                 && (call.stats.spec.effect() != Balancer.Effect.UNSAFE || call.provenNotRun());
     }
 
-    /** A keyed request that may have run goes only to the group that drops its repeats, within the window. */
+    /** A keyed request that may have run is resent only within its deduplication group and window. */
     boolean allowsRetryAt(double nowMs, Call call, UpstreamState upstream) {
         Balancer.RequestClass spec = call.stats.spec;
         return spec.effect() != Balancer.Effect.KEYED
@@ -38,7 +38,7 @@
                                         && sent.inGroup(spec.group(), upstream.listed));
     }
 
-    /** Whether the client may send it again, wherever that goes: a refusal says so. */
+    /** Whether the client may resend the request, to any upstream; a refusal tells the client so. */
     boolean isSafeToRepeat(Call call) {
         Balancer.Effect effect = call.stats.spec.effect();
         return effect == Balancer.Effect.SAFE
--- a/sidecar/src/main/java/gradehub/SettingsReader.java
+++ b/sidecar/src/main/java/gradehub/SettingsReader.java
@@ -14,38 +14,37 @@
 import java.util.Map;
 
 /**
- * Reads settings by path, for the simulator's adapter and for the sidecar on sockets alike. What is missing gets the
- * value that keeps the rules (one attempt, nothing optional allowed, harmful to repeat); a class without its deadline
- * has none, and is refused.
+ * Reads settings by path, both for the simulator's adapter and for the sidecar on sockets. Defaults are restrictive: one
+ * attempt, no optional features, requests unsafe to repeat. A class without a deadline is rejected.
  */
 public final class SettingsReader {
 
-    private static final double COLD_FROM_UNKNOWN = 0.1;
-    private static final double COLD_MS_UNKNOWN = 30_000;
-    private static final double ASK_EVERY_MS_UNKNOWN = 10_000;
+    private static final double DEFAULT_COLD_FROM = 0.1;
+    private static final double DEFAULT_COLD_MS = 30_000;
+    private static final double DEFAULT_ASK_EVERY_MS = 10_000;
 
     private final Map<String, String> values;
 
-    /** Settings as path and value; see {@link #fromLines} for the form of the paths. */
+    /** Takes settings as path and value; see {@link #fromLines} for the syntax of paths. */
     public SettingsReader(Map<String, String> values) {
         this.values = Map.copyOf(values);
     }
 
-    /** Settings as path=value lines, where a list of objects has its length under .count and its items by number. */
+    /** Parses path=value lines; a list of objects has its length under .count and its items under their indexes. */
     public static SettingsReader fromLines(String text) {
         Map<String, String> values = new HashMap<>();
         for (String line : text.lines().toList()) {
-            int split = line.indexOf('=');
-            if (split > 0) {
+            int separator = line.indexOf('=');
+            if (separator > 0) {
                 values.put(
-                        line.substring(0, split).trim(),
-                        line.substring(split + 1).trim());
+                        line.substring(0, separator).trim(),
+                        line.substring(separator + 1).trim());
             }
         }
         return new SettingsReader(values);
     }
 
-    /** All that a balancer is told at the start. */
+    /** The settings of a balancer. */
     public Settings settings() {
         List<RequestClass> classes = new ArrayList<>();
         for (int i = 0; i < count("lanes.count"); i++) {
@@ -55,9 +54,9 @@
         for (int i = 0; i < count("tenants.count"); i++) {
             String path = "tenants." + i + ".";
             tenants.add(new Tenant(
-                    word(path + "name", "tenant-" + i), number(path + "portion", 0), number(path + "quotaPerS", 0)));
+                    string(path + "name", "tenant-" + i), number(path + "portion", 0), number(path + "quotaPerS", 0)));
         }
-        List<String> fields = "off".equals(word("report.via", "off")) ? List.of() : strings("report.fields");
+        List<String> fields = "off".equals(string("report.via", "off")) ? List.of() : strings("report.fields");
         Limits limits = new Limits(
                 (int) number("limits.maxAttempts", 1),
                 flag("limits.secondCopies"),
@@ -65,23 +64,23 @@
                 flag("limits.probing"),
                 flag("limits.retryAfter") ? number("limits.maxRetryAfterMs", 0) : 0);
         Contract contract = new Contract(
-                number("contract.coldFrom", COLD_FROM_UNKNOWN),
-                number("contract.coldMs", COLD_MS_UNKNOWN),
+                number("contract.coldFrom", DEFAULT_COLD_FROM),
+                number("contract.coldMs", DEFAULT_COLD_MS),
                 number("contract.overloadFactor", 1),
                 number("contract.fallMs", 0),
-                number("contract.askEveryMs", ASK_EVERY_MS_UNKNOWN));
+                number("contract.askEveryMs", DEFAULT_ASK_EVERY_MS));
         Goal goal = new Goal(
                 number("scoringMix.whole", 1), number("scoringMix.worstClass", 0), number("scoringMix.worstTenant", 0));
         return new Settings(
                 classes,
                 tenants,
                 (int) number("instances", 1),
-                "ask".equals(word("membershipMode", "push")),
+                "ask".equals(string("membershipMode", "push")),
                 flag("clients.marksRetry"),
                 number("tickMs", 0),
                 number("overShareWorth", 1),
                 fields,
-                "on_probe".equals(word("report.via", "off")),
+                "on_probe".equals(string("report.via", "off")),
                 limits,
                 contract,
                 goal);
@@ -92,18 +91,18 @@
             throw new IllegalArgumentException("setting " + path + "hardLimitMs is missing");
         }
         double deadlineMs = number(path + "hardLimitMs", 0);
-        Effect effect = switch (word(path + "idempotency", "fragile")) {
+        Effect effect = switch (string(path + "idempotency", "fragile")) {
             case "retryable" -> Effect.SAFE;
             case "dedup" -> Effect.KEYED;
             default -> Effect.UNSAFE;
         };
-        Group group = switch (word(path + "group", "cell")) {
+        Group group = switch (string(path + "group", "cell")) {
             case "all" -> Group.ALL;
             case "zone" -> Group.ZONE;
             default -> Group.CELL;
         };
         return new RequestClass(
-                word(path + "name", "class"),
+                string(path + "name", "class"),
                 number(path + "aimMs", deadlineMs),
                 deadlineMs,
                 number(path + "worth", 1),
@@ -114,9 +113,9 @@
                 flag(path + "streaming"));
     }
 
-    /** A list of plain words; empty where the settings do not give it. */
+    /** A comma-separated list of strings; empty if the setting is missing. */
     public List<String> strings(String path) {
-        String value = word(path, "");
+        String value = string(path, "");
         return value.isEmpty() ? List.of() : List.of(value.split(","));
     }
 
@@ -128,15 +127,15 @@
         return "true".equals(values.get(path));
     }
 
-    private String word(String path, String otherwise) {
-        return values.getOrDefault(path, otherwise);
+    private String string(String path, String defaultValue) {
+        return values.getOrDefault(path, defaultValue);
     }
 
-    /** A number, or {@code otherwise} where the settings do not give it. */
-    public double number(String path, double otherwise) {
+    /** A number, or {@code defaultValue} if the setting is missing. */
+    public double number(String path, double defaultValue) {
         String value = values.get(path);
         if (value == null) {
-            return otherwise;
+            return defaultValue;
         }
         try {
             return Double.parseDouble(value);
--- a/sidecar/src/main/java/gradehub/SlowStart.java
+++ b/sidecar/src/main/java/gradehub/SlowStart.java
@@ -1,33 +1,33 @@
 package gradehub;
 
 /**
- * Guards against pushing over an upstream that has just started. Acts for the contract's time: first attempts
- * only, for the part that is warm, from a budget.
+ * Protects an upstream that has just started from overload. While the contract calls it cold, it gets first
+ * attempts only, in proportion to its capacity so far and within a budget.
  *
- * <p>The contract's budget is {@code overloadFactor} times what a cold upstream can do, and a warm one of
- * its size takes no more than it can do. So all sidecars together keep to it if each sends at {@code rate}
- * times its own part of what a warm one takes, and saves no more than the rest of the budget.
+ * <p>The contract's budget is {@code overloadFactor} times the capacity of a cold upstream, and a warm one of
+ * its size gets no more than its capacity. So the sum over all sidecars stays within it if each sends at
+ * {@code rate} times its own part of a warm upstream's load, and accumulates no more than the rest.
  */
 final class SlowStart {
 
-    private static final double MOST_RATE = 1.5; // of what a warm member of the size is sent
-    private static final double SAVED_MS = LoadShiftingBalancer.TICK_MS / 4; // of which tokens are saved
+    private static final double MAX_RATE = 1.5; // of the load of a warm member of the same size
+    private static final double BURST_MS = LoadShiftingBalancer.TICK_MS / 4; // whose tokens may accumulate
 
     private final Balancer.Contract contract;
     private final double rate;
     private final double lapseMs;
     private double sentPerMs;
-    private int sent; // in this tick
-    private double meanCostMs; // of the requests that came with a hint
-    private long hinted;
+    private int sent; // attempts in this tick
+    private double meanCostMs; // of the requests with a cost hint
+    private long hinted; // requests with a cost hint
 
     SlowStart(Balancer.Contract contract) {
         this.contract = contract;
-        rate = Math.min(MOST_RATE, contract.overloadFactor() / 2);
-        lapseMs = Math.max(SAVED_MS, contract.overloadMs()) * (contract.overloadFactor() - rate) / rate;
+        rate = Math.min(MAX_RATE, contract.overloadFactor() / 2);
+        lapseMs = Math.max(BURST_MS, contract.overloadMs()) * (contract.overloadFactor() - rate) / rate;
     }
 
-    /** The part of its load that an upstream can take at this age; 1 once it is warm. */
+    /** The fraction of its full load that an upstream can take at its age; 1 once it is warm. */
     double capacityFraction(double nowMs, Balancer.Upstream listed) {
         double ageMs = nowMs - listed.startedMs();
         if (listed.startedMs() <= 0 || ageMs >= contract.coldMs()) {
@@ -36,19 +36,19 @@
         return contract.coldFrom() + (1 - contract.coldFrom()) * Math.max(0, ageMs) / contract.coldMs();
     }
 
-    /** Whether a cold upstream may be sent an attempt, where {@code part} of all attempts is a warm one's. */
-    boolean admits(double nowMs, TokenBucket budget, double warmth, double part) {
-        return budget.hasToken(nowMs, rate * sentPerMs * part * warmth, SAVED_MS, lapseMs);
+    /** Whether a cold upstream may get an attempt; {@code part} of all attempts would go to it when warm. */
+    boolean admits(double nowMs, TokenBucket budget, double capacityFraction, double part) {
+        return budget.hasToken(nowMs, rate * sentPerMs * part * capacityFraction, BURST_MS, lapseMs);
     }
 
-    /** Notes a request, whose hint of its cost is 0 where there is none. */
+    /** Records a request; {@code costMs} is 0 if it has no cost hint. */
     void recordRequest(double costMs) {
         if (costMs > 0) {
             meanCostMs += (costMs - meanCostMs) / Math.min(ClassStats.SMOOTHING, ++hinted);
         }
     }
 
-    /** Notes an attempt: a heavy request is a part of the budget that is larger by so much. */
+    /** Records an attempt and charges the budget in proportion to its cost hint. */
     void recordAttempt(TokenBucket budget, double costMs) {
         sent++;
         budget.consume(costMs > 0 ? costMs / meanCostMs : 1);
--- a/sidecar/src/main/java/gradehub/TokenBucket.java
+++ b/sidecar/src/main/java/gradehub/TokenBucket.java
@@ -1,33 +1,33 @@
 package gradehub;
 
-/** A bucket of tokens that fills with time, at a rate that may change. */
+/** A token bucket whose fill rate may change. */
 final class TokenBucket {
 
     private double tokens;
     private double filledMs;
 
-    void reset(double nowMs, double some) {
-        tokens = some;
+    void reset(double nowMs, double initialTokens) {
+        tokens = initialTokens;
         filledMs = nowMs;
     }
 
     /**
-     * Fills up to now at {@code perMs} and tells whether a token is there. No more is saved than comes in
-     * {@code savedMs}; a single token that is rare lapses after {@code lapseMs}, and the next is waited for.
+     * Refills at {@code tokensPerMs} and returns whether a token is available. The bucket keeps what
+     * {@code burstMs} brings beyond one token. If that takes over {@code lapseMs}, an unused token lapses.
      */
-    boolean hasToken(double nowMs, double perMs, double savedMs, double lapseMs) {
-        tokens += perMs * (nowMs - filledMs);
+    boolean hasToken(double nowMs, double tokensPerMs, double burstMs, double lapseMs) {
+        tokens += tokensPerMs * (nowMs - filledMs);
         filledMs = nowMs;
-        double lapsing = perMs * lapseMs;
+        double lapsing = tokensPerMs * lapseMs;
         if (lapsing >= 1) {
-            tokens = Math.min(tokens, 1 + perMs * savedMs);
+            tokens = Math.min(tokens, 1 + tokensPerMs * burstMs);
         } else if (tokens >= 1 + lapsing) {
             tokens -= Math.floor(tokens - lapsing);
         }
         return tokens >= 1;
     }
 
-    void consume(double some) {
-        tokens -= some;
+    void consume(double count) {
+        tokens -= count;
     }
 }
--- a/sidecar/src/test/java/gradehub/AdmissionControlTest.java
+++ b/sidecar/src/test/java/gradehub/AdmissionControlTest.java
@@ -17,9 +17,9 @@
 
     private static final double TYPICAL_MS = 100;
 
-    private final ClassStats cheap = stats(1);
-    private final ClassStats dear = stats(4);
-    private final AdmissionControl admission = new AdmissionControl(new Goal(0.5, 0.2, 0), List.of(cheap, dear));
+    private final ClassStats ordinary = stats(1);
+    private final ClassStats valuable = stats(4);
+    private final AdmissionControl admission = new AdmissionControl(new Goal(0.5, 0.2, 0), List.of(ordinary, valuable));
 
     private static ClassStats stats(double worth) {
         ClassStats stats =
@@ -35,35 +35,35 @@
     }
 
     @Test
-    void worthIsThatOfTheClassInTheWhole() {
-        assertEquals(0.5, admission.answerValue(cheap));
-        assertEquals(2, admission.answerValue(dear));
+    void answerValueIsTheClassWorthTimesTheWeightOfTheWhole() {
+        assertEquals(0.5, admission.answerValue(ordinary));
+        assertEquals(2, admission.answerValue(valuable));
     }
 
     @Test
-    void theWorstServedClassIsLiftedOnceItFaresBadly() {
-        cheap.served = 91;
-        assertEquals(0.5, admission.answerValue(cheap));
-        cheap.served = 80; // the lift: 0.2 of 500 offered in worth, over the 100 requests of the class
-        assertEquals(1.5, admission.answerValue(cheap));
-        dear.served = 70;
-        assertEquals(0.5, admission.answerValue(cheap));
-        assertEquals(3, admission.answerValue(dear));
+    void worstServedClassGainsValueOnceItIsPoorlyServed() {
+        ordinary.served = 91;
+        assertEquals(0.5, admission.answerValue(ordinary));
+        ordinary.served = 80; // the bonus: 0.2 of the offered worth of 500, divided by the 100 requests of the class
+        assertEquals(1.5, admission.answerValue(ordinary));
+        valuable.served = 70;
+        assertEquals(0.5, admission.answerValue(ordinary));
+        assertEquals(3, admission.answerValue(valuable));
     }
 
     @Test
-    void lessThanHalfATypicalLatencyOrTheCostByTheHintIsTooLate() {
-        assertFalse(AdmissionControl.isTooLate(949, call(cheap, 1, 0)));
-        assertTrue(AdmissionControl.isTooLate(950, call(cheap, 1, 0)));
-        assertFalse(AdmissionControl.isTooLate(799, call(cheap, 1, 200)));
-        assertTrue(AdmissionControl.isTooLate(800, call(cheap, 1, 200)));
+    void isTooLateBelowHalfATypicalLatencyOrTheCostHint() {
+        assertFalse(AdmissionControl.isTooLate(949, call(ordinary, 1, 0)));
+        assertTrue(AdmissionControl.isTooLate(950, call(ordinary, 1, 0)));
+        assertFalse(AdmissionControl.isTooLate(799, call(ordinary, 1, 200)));
+        assertTrue(AdmissionControl.isTooLate(800, call(ordinary, 1, 200)));
     }
 
     @Test
-    void aPartIsRefusedOnceMostAttemptsComeLate() {
+    void throttlesAPartOfTheRequestsOnceMostAttemptsAreLate() {
         assertFalse(admission.shouldThrottle(0.999));
         for (int i = 0; i < 99; i++) {
-            admission.attemptEnded(i < 24); // (1 + 24) / (1 + 99), times 1.4
+            admission.attemptEnded(i < 24); // throttled above 1.4 * (1 + 24) / (1 + 99)
         }
         assertFalse(admission.shouldThrottle(0.34));
         assertTrue(admission.shouldThrottle(0.36));
@@ -74,33 +74,33 @@
     }
 
     @Test
-    void nothingIsRefusedWhereConnectionsAreLeftOrTheirNumberIsNotKnown() {
-        assertNull(admission.selectRefused(call(cheap, 0.5, 0), 1_000_000, List.of()));
-        admission.maxConnections = 100; // 12 are kept for the worthiest
-        assertNull(admission.selectRefused(call(cheap, 0.5, 0), 88, List.of()));
+    void refusesNothingWhileConnectionsAreFreeOrTheirLimitIsUnknown() {
+        assertNull(admission.selectRefused(call(ordinary, 0.5, 0), 1_000_000, List.of()));
+        admission.maxConnections = 100; // 12 are reserved for the requests of highest value
+        assertNull(admission.selectRefused(call(ordinary, 0.5, 0), 88, List.of()));
     }
 
     @Test
-    void theLessARequestIsWorthTheMoreConnectionsMustBeLeft() {
+    void requestsOfLowerValueNeedMoreFreeConnections() {
         admission.maxConnections = 100;
-        Call poor = call(cheap, 0.5, 0); // a quarter of the best: 9 must be left
-        assertNull(admission.selectRefused(poor, 91, List.of()));
-        assertSame(poor, admission.selectRefused(poor, 92, List.of()));
-        assertNull(admission.selectRefused(call(dear, 2, 0), 100, List.of()));
+        Call low = call(ordinary, 0.5, 0); // a quarter of the best value: needs 9 free connections
+        assertNull(admission.selectRefused(low, 91, List.of()));
+        assertSame(low, admission.selectRefused(low, 92, List.of()));
+        assertNull(admission.selectRefused(call(valuable, 2, 0), 100, List.of()));
     }
 
     @Test
-    void whatWaitsAndIsWorthLessGoesInPlaceOfTheNewOne() {
+    void refusesAQueuedRequestOfLowerValueInsteadOfTheNewOne() {
         admission.maxConnections = 100;
-        Call poor = call(cheap, 0.4, 0);
-        Call rich = call(dear, 2, 0);
-        assertSame(poor, admission.selectRefused(call(cheap, 0.5, 0), 99, List.of(rich, poor)));
-        Call poorest = call(cheap, 0.1, 0);
-        assertSame(poorest, admission.selectRefused(poorest, 99, List.of(rich, poor)));
+        Call low = call(ordinary, 0.4, 0);
+        Call high = call(valuable, 2, 0);
+        assertSame(low, admission.selectRefused(call(ordinary, 0.5, 0), 99, List.of(high, low)));
+        Call lowest = call(ordinary, 0.1, 0);
+        assertSame(lowest, admission.selectRefused(lowest, 99, List.of(high, low)));
     }
 
     @Test
-    void theBeginningAndTheEndOfRefusingAreTold() {
+    void logsTheStartAndTheEndOfRefusing() {
         List<String> logs = new ArrayList<>();
         NoOpActions actions = new NoOpActions() {
             @Override
@@ -110,15 +110,15 @@
         };
         admission.maxConnections = 100;
         for (int tick = 0; tick < 2; tick++) {
-            admission.selectRefused(call(cheap, 0.5, 0), 100, List.of());
+            admission.selectRefused(call(ordinary, 0.5, 0), 100, List.of());
             admission.tick(actions);
         }
-        admission.selectRefused(call(dear, 2, 0), 100, List.of());
+        admission.selectRefused(call(valuable, 2, 0), 100, List.of());
         admission.tick(actions);
         assertEquals(
                 List.of(
-                        "clients run out of connections: refusing what is worth least for its time",
-                        "clients have connections left again"),
+                        "client connections are running out: refusing requests of least value per time",
+                        "client connections are available again"),
                 logs);
     }
 }
--- a/sidecar/src/test/java/gradehub/ConcurrencyLimitTest.java
+++ b/sidecar/src/test/java/gradehub/ConcurrencyLimitTest.java
@@ -17,70 +17,70 @@
         return limit;
     }
 
-    /** The most attempts that may be in flight. */
-    private static int most(ConcurrencyLimit limit, double nowMs, double warmth) {
+    /** The number of attempts that the limit admits at once. */
+    private static int admittedAtOnce(ConcurrencyLimit limit, double nowMs, double capacityFraction) {
         int inFlight = 0;
-        while (limit.admits(nowMs, inFlight, warmth)) {
+        while (limit.admits(nowMs, inFlight, capacityFraction)) {
             inFlight++;
         }
         return inFlight;
     }
 
-    private static void answers(ConcurrencyLimit limit, int count, int inFlight, double headroom) {
+    private static void adjustRepeatedly(ConcurrencyLimit limit, int count, int inFlight, double headroom) {
         for (int i = 0; i < count; i++) {
             limit.adjust(0, inFlight, headroom, 0.5, TYPICAL_MS);
         }
     }
 
     @Test
-    void startsAtWhatItIsGivenButAtOneAtLeast() {
-        assertEquals(4, most(limit(4), 0, WARM));
-        assertEquals(1, most(limit(0.2), 0, WARM));
+    void startsAtTheInitialLimitButAtLeastAtOne() {
+        assertEquals(4, admittedAtOnce(limit(4), 0, WARM));
+        assertEquals(1, admittedAtOnce(limit(0.2), 0, WARM));
         assertTrue(limit(0.2).atMostOne());
         assertFalse(limit(4).atMostOne());
     }
 
     @Test
-    void aPartlyWarmUpstreamGetsItsPartButOneAtLeast() {
-        assertEquals(2, most(limit(8), 0, 0.25));
-        assertEquals(1, most(limit(8), 0, 0.01));
+    void coldUpstreamGetsAFractionOfTheLimitButAtLeastOne() {
+        assertEquals(2, admittedAtOnce(limit(8), 0, 0.25));
+        assertEquals(1, admittedAtOnce(limit(8), 0, 0.01));
     }
 
     @Test
-    void quickAnswersRaiseItByAQuarterEachAtMost() {
+    void fastAnswersRaiseTheLimitByAtMostAQuarterEach() {
         ConcurrencyLimit limit = limit(4);
-        answers(limit, 4, 4, 10);
-        assertEquals(5, most(limit, 0, WARM));
-        answers(limit, 10, 5, 0.1);
-        assertEquals(6, most(limit, 0, WARM));
+        adjustRepeatedly(limit, 4, 4, 10);
+        assertEquals(5, admittedAtOnce(limit, 0, WARM));
+        adjustRepeatedly(limit, 10, 5, 0.1);
+        assertEquals(6, admittedAtOnce(limit, 0, WARM));
     }
 
     @Test
-    void quickAnswersOfAnUpstreamThatIsHardlyUsedLeaveIt() {
+    void fastAnswersOfALittleUsedUpstreamLeaveTheLimit() {
         ConcurrencyLimit limit = limit(8);
-        answers(limit, 100, 2, 10);
-        assertEquals(8, most(limit, 0, WARM));
-        answers(limit, 4, 3, 10);
-        assertEquals(9, most(limit, 0, WARM));
+        adjustRepeatedly(limit, 100, 2, 10);
+        assertEquals(8, admittedAtOnce(limit, 0, WARM));
+        adjustRepeatedly(limit, 4, 3, 10);
+        assertEquals(9, admittedAtOnce(limit, 0, WARM));
     }
 
     @Test
-    void slowAnswersLowerItByAHalfEachAtMost() {
+    void slowAnswersLowerTheLimitByAtMostAHalfEach() {
         ConcurrencyLimit limit = limit(4);
-        answers(limit, 2, 4, -0.9);
-        assertEquals(3, most(limit, 0, WARM));
-        answers(limit, 4, 3, -0.25);
-        assertEquals(2, most(limit, 0, WARM));
+        adjustRepeatedly(limit, 2, 4, -0.9);
+        assertEquals(3, admittedAtOnce(limit, 0, WARM));
+        adjustRepeatedly(limit, 4, 3, -0.25);
+        assertEquals(2, admittedAtOnce(limit, 0, WARM));
     }
 
     @Test
-    void belowOneAttemptItSetsAPace() {
+    void limitBelowOneSetsAMinimumInterval() {
         ConcurrencyLimit limit = limit(1);
-        answers(limit, 10, 0, -0.9); // to the minimum of a half: a second attempt's time lies between two
+        adjustRepeatedly(limit, 10, 0, -0.9); // down to the minimum of 0.5: attempts are one typical latency apart
         assertTrue(limit.atMostOne());
-        assertEquals(0, most(limit, TYPICAL_MS - 1, WARM));
-        assertEquals(1, most(limit, TYPICAL_MS, WARM));
-        answers(limit, 1, 0, 0.1); // one quick answer lets single attempts through again
-        assertEquals(1, most(limit, TYPICAL_MS, WARM));
+        assertEquals(0, admittedAtOnce(limit, TYPICAL_MS - 1, WARM));
+        assertEquals(1, admittedAtOnce(limit, TYPICAL_MS, WARM));
+        adjustRepeatedly(limit, 1, 0, 0.1); // one fast answer ends the interval
+        assertEquals(1, admittedAtOnce(limit, TYPICAL_MS, WARM));
     }
 }
--- a/sidecar/src/test/java/gradehub/FailureHandlingTest.java
+++ b/sidecar/src/test/java/gradehub/FailureHandlingTest.java
@@ -70,7 +70,7 @@
         double later = sidecar.now;
         play(sidecar, 8000, 10, one(2, trouble));
         assertTrue(sentTo(sidecar, 2, later) <= 12, "only trials: " + sentTo(sidecar, 2, later));
-        assertTrue(sidecar.logs.stream().anyMatch(line -> line.startsWith("upstream 2 is set aside")));
+        assertTrue(sidecar.logs.stream().anyMatch(line -> line.startsWith("upstream 2 is ejected")));
         play(sidecar, 15_000, 10, SOUND);
         long last = sentTo(sidecar, 2, sidecar.now - 5000);
         assertTrue(last > 10, "back in the draw: " + last);
@@ -192,8 +192,8 @@
         int refused = sidecar.refused;
         play(sidecar, 5000, 10, SOUND);
         assertEquals(refused, sidecar.refused);
-        assertTrue(sidecar.logs.contains("all members full: refusing requests"));
-        assertTrue(sidecar.logs.contains("nothing refused any more"));
+        assertTrue(sidecar.logs.contains("all members at their limits: shedding requests"));
+        assertTrue(sidecar.logs.contains("load shedding ended"));
     }
 
     @Test
--- a/sidecar/src/test/java/gradehub/LoadShedderTest.java
+++ b/sidecar/src/test/java/gradehub/LoadShedderTest.java
@@ -25,7 +25,7 @@
         }
     };
 
-    private Call waits(int order, double value, double usefulUntilMs) {
+    private Call enqueue(int order, double value, double usefulUntilMs) {
         Call call = new Call(
                 new Balancer.Request(order, 0, 0, 4000, false, 0), stats, value, order, usefulUntilMs, usefulUntilMs);
         shedder.queue.add(call);
@@ -33,18 +33,18 @@
     }
 
     @Test
-    void theWorthiestGoFirstAndOfThemTheNewest() {
-        Call old = waits(1, 5, 1000);
-        Call poor = waits(2, 1, 1000);
-        Call recent = waits(3, 5, 1000);
-        assertEquals(List.of(recent, old, poor), List.copyOf(shedder.queue));
+    void ordersByValueThenNewestFirst() {
+        Call older = enqueue(1, 5, 1000);
+        Call lowValue = enqueue(2, 1, 1000);
+        Call newer = enqueue(3, 5, 1000);
+        assertEquals(List.of(newer, older, lowValue), List.copyOf(shedder.queue));
     }
 
     @Test
-    void whatHasTwoAndAHalfTypicalLatenciesLeftIsShed() {
+    void shedsAtTwoAndAHalfTypicalLatenciesLeft() {
         stats.typicalMs = 100;
-        Call soon = waits(1, 1, 1000);
-        Call later = waits(2, 1, 1001);
+        Call soon = enqueue(1, 1, 1000);
+        Call later = enqueue(2, 1, 1001);
         assertEquals(List.of(), shedder.shed(749, CONTROL_MS));
         assertFalse(shedder.hasShed());
         assertEquals(List.of(soon), shedder.shed(750, CONTROL_MS));
@@ -53,36 +53,36 @@
     }
 
     @Test
-    void whereAllIsSlowWaitingEndsLater() {
-        stats.typicalMs = 500; // 2.5 of them would be more than the aim: 0.65 of the aim of 1,000 ms it is
-        Call call = waits(1, 1, 1000);
+    void shedsLaterWhenTypicalLatencyIsHigh() {
+        stats.typicalMs = 500; // 2.5 of them exceed the aim of 1,000 ms, so 0.65 of the aim applies
+        Call call = enqueue(1, 1, 1000);
         assertEquals(List.of(), shedder.shed(349, CONTROL_MS));
         assertEquals(List.of(call), shedder.shed(350, CONTROL_MS));
-        stats.typicalMs = 800; // but never less than one typical latency
-        waits(2, 1, 1000);
+        stats.typicalMs = 800; // at least one typical latency
+        enqueue(2, 1, 1000);
         assertEquals(List.of(), shedder.shed(199, CONTROL_MS));
         assertEquals(1, shedder.shed(200, CONTROL_MS).size());
     }
 
     @Test
-    void whereAllIsQuickItWaitsForTheLastControlTick() {
+    void shedsAtTheLastControlTickWhenTypicalLatencyIsLow() {
         stats.typicalMs = 1;
-        waits(1, 1, 1000);
+        enqueue(1, 1, 1000);
         assertEquals(List.of(), shedder.shed(939, CONTROL_MS));
         assertEquals(1, shedder.shed(940, CONTROL_MS).size());
     }
 
     @Test
-    void theBeginningAndTheEndOfSheddingAreTold() {
+    void logsTheStartAndTheEndOfShedding() {
         shedder.tick(actions);
-        waits(1, 1, 1000);
+        enqueue(1, 1, 1000);
         shedder.shed(1000, CONTROL_MS);
         shedder.tick(actions);
         assertFalse(shedder.hasShed());
-        waits(2, 1, 1000);
+        enqueue(2, 1, 1000);
         shedder.shed(1000, CONTROL_MS);
         shedder.tick(actions);
         shedder.tick(actions);
-        assertEquals(List.of("all members full: refusing requests", "nothing refused any more"), logs);
+        assertEquals(List.of("all members at their limits: shedding requests", "load shedding ended"), logs);
     }
 }
--- a/sidecar/src/test/java/gradehub/LowTrafficTest.java
+++ b/sidecar/src/test/java/gradehub/LowTrafficTest.java
@@ -114,7 +114,7 @@
         sidecar.advance(250); // five medians
         assertEquals(List.of(), sidecar.logs);
         sidecar.advance(350); // twelve
-        assertTrue(sidecar.logs.get(0).contains("is set aside, silent for"));
+        assertTrue(sidecar.logs.get(0).contains("is ejected: no answer for"));
     }
 
     @Test
--- a/sidecar/src/test/java/gradehub/OutlierEjectionTest.java
+++ b/sidecar/src/test/java/gradehub/OutlierEjectionTest.java
@@ -32,34 +32,34 @@
         return stats;
     }
 
-    private void fails(double nowMs, ClassStats stats, int times) {
+    private void fail(double nowMs, ClassStats stats, int times) {
         for (int i = 0; i < times; i++) {
             ejection.recordFailure(nowMs, upstream, stats);
         }
     }
 
-    private Attempt sent(double nowMs) {
+    private Attempt send(double nowMs) {
         Call call = new Call(new Balancer.Request(1, 0, 0, 4000, false, 0), reads, 1, 0, 1000, 1000);
         call.begin(upstream, nowMs);
         return call.attempt(0);
     }
 
     @Test
-    void threeFailuresInARowEject() {
-        fails(0, reads, 2);
+    void threeConsecutiveFailuresEject() {
+        fail(0, reads, 2);
         assertFalse(ejection.excludes(0, upstream, reads));
-        fails(0, writes, 1);
+        fail(0, writes, 1);
         assertTrue(ejection.excludes(0, upstream, reads));
         assertTrue(ejection.excludes(0, upstream, writes));
-        assertEquals(List.of("upstream 3 is set aside, it failed 3 times in a row; trying it now and then"), logs);
+        assertEquals(List.of("upstream 3 is ejected: 3 consecutive failures; sending trial requests"), logs);
     }
 
     @Test
-    void anAnswerEndsARowOfFailures() {
-        fails(0, reads, 2);
+    void anAnswerResetsTheFailureCount() {
+        fail(0, reads, 2);
         ejection.recordAnswer(0, upstream, 4);
         ejection.recordClassSuccess(upstream, reads);
-        fails(0, reads, 2);
+        fail(0, reads, 2);
         assertFalse(ejection.excludes(0, upstream, reads));
         assertEquals(List.of(), logs);
     }
@@ -67,7 +67,7 @@
     @Test
     void failuresOfOneClassEjectForThatClassAlone() {
         for (int i = 0; i < 3; i++) {
-            fails(0, reads, 1);
+            fail(0, reads, 1);
             ejection.recordAnswer(0, upstream, 4);
             ejection.recordClassSuccess(upstream, writes);
         }
@@ -77,20 +77,19 @@
         assertFalse(ejection.excludes(0, upstream, reads));
         assertEquals(
                 List.of(
-                        "upstream 3 is set aside for class alone, which it failed 3 times in a row; trying it"
-                                + " now and then",
-                        "upstream 3 serves class again"),
+                        "upstream 3 is ejected for class class alone: 3 consecutive failures; sending trial requests",
+                        "upstream 3 serves class class again"),
                 logs);
     }
 
     @Test
-    void trialsOfAnEjectedUpstreamAreEverRarer() {
+    void trialsOfAnEjectedUpstreamBackOffExponentially() {
         ejection.eject(0, upstream, "for the test");
         double nowMs = 0;
-        for (double gapMs : new double[] {500, 1000, 2000, 4000, 4000}) {
-            assertTrue(ejection.excludes(nowMs + gapMs - 1, upstream, reads), gapMs + " ms");
-            assertFalse(ejection.excludes(nowMs + gapMs, upstream, reads), gapMs + " ms");
-            nowMs += gapMs;
+        for (double backoffMs : new double[] {500, 1000, 2000, 4000, 4000}) {
+            assertTrue(ejection.excludes(nowMs + backoffMs - 1, upstream, reads), backoffMs + " ms");
+            assertFalse(ejection.excludes(nowMs + backoffMs, upstream, reads), backoffMs + " ms");
+            nowMs += backoffMs;
             ejection.recordAttempt(nowMs, upstream, reads);
         }
     }
@@ -98,37 +97,37 @@
     @Test
     void anAnswerEndsAnEjection() {
         ejection.eject(0, upstream, "for the test");
-        ejection.eject(1, upstream, "a second time, which is not told");
+        ejection.eject(1, upstream, "a second time, which is not logged");
         upstream.share = 0.01;
         ejection.recordAnswer(2, upstream, 4);
-        assertEquals(0.25, upstream.share); // the mean of four
+        assertEquals(0.25, upstream.share); // the mean share of four members
         upstream.share = 0.01;
         ejection.recordAnswer(3, upstream, 4);
-        assertEquals(0.01, upstream.share); // it was not ejected any more
+        assertEquals(0.01, upstream.share); // no longer ejected
         assertFalse(ejection.excludes(3, upstream, reads));
         assertEquals(
                 List.of(
-                        "upstream 3 is set aside, for the test; trying it now and then",
-                        "upstream 3 answers again and is back in the draw"),
+                        "upstream 3 is ejected: for the test; sending trial requests",
+                        "upstream 3 answers again: ejection ended"),
                 logs);
     }
 
     @Test
-    void oneSilentAttemptMayTakeAsLongAsTheTailOfItsClass() {
-        Attempt oldest = sent(1000);
+    void oneUnansweredAttemptEjectsAfterTheTailLatencyOfItsClass() {
+        Attempt oldest = send(1000);
         reads.tail = 8;
         ejection.checkUnresponsive(1000 + 8 * TYPICAL_MS, upstream, oldest);
         assertEquals(List.of(), logs);
         ejection.checkUnresponsive(1000 + 8 * TYPICAL_MS + 1, upstream, oldest);
-        assertEquals(List.of("upstream 3 is set aside, silent for 801 ms; trying it now and then"), logs);
+        assertEquals(List.of("upstream 3 is ejected: no answer for 801 ms; sending trial requests"), logs);
     }
 
     @Test
-    void severalSilentAttemptsTellSooner() {
-        Attempt oldest = sent(1000);
-        sent(1000);
-        sent(1000);
-        sent(1000);
+    void severalUnansweredAttemptsEjectSooner() {
+        Attempt oldest = send(1000);
+        send(1000);
+        send(1000);
+        send(1000);
         ejection.checkUnresponsive(1000 + 2 * TYPICAL_MS, upstream, oldest);
         assertFalse(upstream.probation.ejected);
         ejection.checkUnresponsive(1000 + 2 * TYPICAL_MS + 1, upstream, oldest);
@@ -136,8 +135,8 @@
     }
 
     @Test
-    void anotherAnswerInTheMeantimeIsNoSilence() {
-        Attempt oldest = sent(1000);
+    void anAnswerToAnotherAttemptRestartsTheSilence() {
+        Attempt oldest = send(1000);
         ejection.recordAnswer(1500, upstream, 4);
         ejection.checkUnresponsive(1500 + 8 * TYPICAL_MS, upstream, oldest);
         assertFalse(upstream.probation.ejected);
--- a/sidecar/src/test/java/gradehub/RetryPolicyTest.java
+++ b/sidecar/src/test/java/gradehub/RetryPolicyTest.java
@@ -16,7 +16,7 @@
     private static final double USEFUL_UNTIL_MS = 1000;
 
     private final RetryPolicy retries = new RetryPolicy();
-    /** In zone 1 and cell 1; 3 is in the same zone, 4 in the same cell. */
+    /** In zone 1 and cell 1; upstream 3 shares its zone, upstream 4 its cell. */
     private final UpstreamState first = upstream(1);
 
     private static UpstreamState upstream(int id) {
@@ -29,8 +29,8 @@
         return new Call(new Balancer.Request(1, 0, 0, 4000, false, 0), stats, 1, 0, USEFUL_UNTIL_MS, USEFUL_UNTIL_MS);
     }
 
-    /** A call with one attempt that has ended so, or is in flight for null. */
-    private Call sent(Effect effect, Group group, Outcome outcome) {
+    /** A call with one attempt, which ended with the outcome or, if that is null, is in flight. */
+    private Call callWithAttempt(Effect effect, Group group, Outcome outcome) {
         Call call = call(effect, group);
         call.begin(first, 0);
         if (outcome != null) {
@@ -40,19 +40,19 @@
     }
 
     @Test
-    void theBudgetBeginsHalfFullAndIsSpentByRetries() {
-        Call call = sent(Effect.SAFE, Group.ALL, Outcome.ERROR);
-        int resent = 0;
+    void budgetStartsHalfFullAndRetriesUseIt() {
+        Call call = callWithAttempt(Effect.SAFE, Group.ALL, Outcome.ERROR);
+        int retried = 0;
         while (retries.allowsRetry(0, call, 3)) {
             retries.recordAttempt(call);
-            resent++;
+            retried++;
         }
-        assertEquals(10, resent);
+        assertEquals(10, retried);
     }
 
     @Test
-    void fourRequestsEarnOneRetryUpToTwenty() {
-        Call call = sent(Effect.SAFE, Group.ALL, Outcome.ERROR);
+    void fourRequestsAddOneRetryUpToTwenty() {
+        Call call = callWithAttempt(Effect.SAFE, Group.ALL, Outcome.ERROR);
         for (int i = 0; i < 10; i++) {
             retries.recordAttempt(call);
         }
@@ -74,16 +74,16 @@
     }
 
     @Test
-    void firstAttemptsTakeNothingFromTheBudget() {
+    void firstAttemptsDoNotUseTheBudget() {
         for (int i = 0; i < 100; i++) {
             retries.recordAttempt(call(Effect.SAFE, Group.ALL));
         }
-        assertTrue(retries.allowsRetry(0, sent(Effect.SAFE, Group.ALL, Outcome.ERROR), 3));
+        assertTrue(retries.allowsRetry(0, callWithAttempt(Effect.SAFE, Group.ALL, Outcome.ERROR), 3));
     }
 
     @Test
-    void noMoreAttemptsThanTheLimit() {
-        Call call = sent(Effect.SAFE, Group.ALL, Outcome.ERROR);
+    void attemptsStayWithinTheLimit() {
+        Call call = callWithAttempt(Effect.SAFE, Group.ALL, Outcome.ERROR);
         call.begin(upstream(2), 0);
         assertTrue(retries.allowsRetry(0, call, 3));
         call.begin(upstream(3), 0);
@@ -91,50 +91,51 @@
     }
 
     @Test
-    void noRetryThatWouldHardlyBeInTime() {
-        Call call = sent(Effect.SAFE, Group.ALL, Outcome.ERROR);
+    void noRetryWithLessThanATypicalLatencyLeft() {
+        Call call = callWithAttempt(Effect.SAFE, Group.ALL, Outcome.ERROR);
         assertTrue(retries.allowsRetry(USEFUL_UNTIL_MS - TYPICAL_MS, call, 3));
         assertFalse(retries.allowsRetry(USEFUL_UNTIL_MS - TYPICAL_MS + 1, call, 3));
     }
 
     @Test
-    void anUnsafeRequestIsSentAgainOnlyIfItIsKnownNotToHaveRun() {
+    void unsafeRequestIsRetriedOnlyIfItCannotHaveRun() {
         for (Outcome outcome : Outcome.values()) {
             assertEquals(
                     outcome.provesNotRun(),
-                    retries.allowsRetry(0, sent(Effect.UNSAFE, Group.ALL, outcome), 3),
+                    retries.allowsRetry(0, callWithAttempt(Effect.UNSAFE, Group.ALL, outcome), 3),
                     outcome.name());
         }
-        assertFalse(retries.allowsRetry(0, sent(Effect.UNSAFE, Group.ALL, null), 3));
+        assertFalse(retries.allowsRetry(0, callWithAttempt(Effect.UNSAFE, Group.ALL, null), 3));
     }
 
     @Test
-    void aKeyedRequestThatMayHaveRunStaysInItsGroup() {
-        Call zonal = sent(Effect.KEYED, Group.ZONE, Outcome.TIMEOUT);
+    void keyedRequestThatMayHaveRunStaysInItsGroup() {
+        Call zonal = callWithAttempt(Effect.KEYED, Group.ZONE, Outcome.TIMEOUT);
         assertTrue(retries.allowsRetryAt(1, zonal, upstream(3)));
         assertFalse(retries.allowsRetryAt(1, zonal, upstream(4)));
-        Call cellular = sent(Effect.KEYED, Group.CELL, null);
+        Call cellular = callWithAttempt(Effect.KEYED, Group.CELL, null);
         assertFalse(retries.allowsRetryAt(1, cellular, upstream(3)));
         assertTrue(retries.allowsRetryAt(1, cellular, upstream(4)));
-        assertTrue(retries.allowsRetryAt(1, sent(Effect.KEYED, Group.ALL, Outcome.RESET), upstream(2)));
+        assertTrue(retries.allowsRetryAt(1, callWithAttempt(Effect.KEYED, Group.ALL, Outcome.RESET), upstream(2)));
     }
 
     @Test
-    void aKeyedRequestThatMayHaveRunIsNotSentOnceItsKeyMayBeForgotten() {
-        Call call = sent(Effect.KEYED, Group.ALL, Outcome.TIMEOUT); // for 600 ms, by TestSettings
+    void keyedRequestThatMayHaveRunIsNotRetriedAfterItsWindow() {
+        Call call = callWithAttempt(Effect.KEYED, Group.ALL, Outcome.TIMEOUT); // TestSettings has a window of 600 ms
         assertTrue(retries.allowsRetryAt(599, call, upstream(2)));
         assertFalse(retries.allowsRetryAt(600, call, upstream(2)));
-        assertTrue(retries.allowsRetryAt(600, sent(Effect.KEYED, Group.ZONE, Outcome.REJECTED), upstream(2)));
-        assertTrue(retries.allowsRetryAt(600, sent(Effect.SAFE, Group.ZONE, Outcome.TIMEOUT), upstream(2)));
+        assertTrue(
+                retries.allowsRetryAt(600, callWithAttempt(Effect.KEYED, Group.ZONE, Outcome.REJECTED), upstream(2)));
+        assertTrue(retries.allowsRetryAt(600, callWithAttempt(Effect.SAFE, Group.ZONE, Outcome.TIMEOUT), upstream(2)));
     }
 
     @Test
-    void aRefusalNeverInvitesToRunTwiceWhatMustNot() {
-        assertTrue(retries.isSafeToRepeat(sent(Effect.SAFE, Group.ZONE, Outcome.TIMEOUT)));
-        assertTrue(retries.isSafeToRepeat(sent(Effect.KEYED, Group.ALL, Outcome.TIMEOUT)));
-        assertFalse(retries.isSafeToRepeat(sent(Effect.KEYED, Group.ZONE, Outcome.TIMEOUT)));
-        assertFalse(retries.isSafeToRepeat(sent(Effect.UNSAFE, Group.ALL, Outcome.TIMEOUT)));
-        assertTrue(retries.isSafeToRepeat(sent(Effect.UNSAFE, Group.ALL, Outcome.CONNECT_FAILED)));
+    void isSafeToRepeatOnlyIfNothingUnsafeCanRunTwice() {
+        assertTrue(retries.isSafeToRepeat(callWithAttempt(Effect.SAFE, Group.ZONE, Outcome.TIMEOUT)));
+        assertTrue(retries.isSafeToRepeat(callWithAttempt(Effect.KEYED, Group.ALL, Outcome.TIMEOUT)));
+        assertFalse(retries.isSafeToRepeat(callWithAttempt(Effect.KEYED, Group.ZONE, Outcome.TIMEOUT)));
+        assertFalse(retries.isSafeToRepeat(callWithAttempt(Effect.UNSAFE, Group.ALL, Outcome.TIMEOUT)));
+        assertTrue(retries.isSafeToRepeat(callWithAttempt(Effect.UNSAFE, Group.ALL, Outcome.CONNECT_FAILED)));
         assertTrue(retries.isSafeToRepeat(call(Effect.UNSAFE, Group.ALL)));
     }
 }
