--- a/sidecar/src/main/java/gradehub/AdmissionControl.java
+++ b/sidecar/src/main/java/gradehub/AdmissionControl.java
@@ -55,7 +55,7 @@
 
     /** Whether the time left is too short for a useful answer, by the class's latency or the cost hint. */
     static boolean isTooLate(double nowMs, Call call) {
-        return call.usefulUntilMs - nowMs <= Math.max(call.stats.typicalMs / 2, call.costMs);
+        return call.deadlineMs - nowMs <= Math.max(call.stats.medianMs / 2, call.costMs);
     }
 
     /** Whether to refuse a request because most attempts end late; {@code draw} is random, from 0 to 1. */
@@ -70,16 +70,16 @@
         if (maxConnections == 0 || free >= reserved) {
             return null;
         }
-        Call least = queued.stream()
-                .min(Comparator.comparingDouble(Call::worthPerMs))
+        Call least = waiting.stream()
+                .min(Comparator.comparingDouble(Call::valuePerMs))
                 .orElse(call);
-        if (least.worthPerMs() >= call.worthPerMs()) {
+        if (least.valuePerMs() >= call.valuePerMs()) {
             double best = classes.stream()
                     .filter(stats -> stats.offered > 0)
-                    .mapToDouble(stats -> answerValue(stats) / stats.typicalMs)
+                    .mapToDouble(stats -> worth(stats) / stats.medianMs)
                     .max()
                     .orElse(0);
-            least = free < reserved * (1 - call.worthPerMs() / best) ? call : null;
+            least = left < kept * (1 - call.valuePerMs() / best) ? call : null;
         }
         refused += least == null ? 0 : 1;
         return least;
--- a/sidecar/src/main/java/gradehub/OutlierEjection.java
+++ b/sidecar/src/main/java/gradehub/OutlierEjection.java
@@ -50,8 +50,8 @@
         }
     }
 
-    void recordAnswer(double nowMs, UpstreamState upstream, int members) {
-        upstream.heardMs = nowMs;
+    void answered(double nowMs, UpstreamState upstream, int members) {
+        upstream.lastAnswerMs = nowMs;
         upstream.probation.failures = 0;
         if (upstream.probation.ejected) {
             upstream.probation.ejected = false;
@@ -61,12 +61,12 @@
     }
 
     /** Ejects an upstream that is silent for too long; {@code oldest} is its oldest attempt in flight. */
-    void checkUnresponsive(double nowMs, UpstreamState upstream, Attempt oldest) {
-        double silentMs = nowMs - Math.max(upstream.heardMs, oldest.sentMs);
-        // A single attempt is often slow by chance; several at once hardly are.
-        double threshold = Math.max(SILENCE, oldest.call.stats.tail) / upstream.inFlight;
-        if (silentMs > Math.max(MIN_SILENCE, threshold) * oldest.call.stats.typicalMs) {
-            eject(nowMs, upstream, "no answer for " + Math.round(silentMs) + " ms");
+    void checkSilence(double nowMs, UpstreamState upstream, Attempt oldest) {
+        double silentMs = nowMs - Math.max(upstream.lastAnswerMs, oldest.sentMs);
+        // One attempt alone is often slow by chance; several that wait together hardly are.
+        double enough = Math.max(SILENCE, oldest.call.stats.tailRatio) / upstream.inFlight;
+        if (silentMs > Math.max(LEAST_SILENCE, enough) * oldest.call.stats.medianMs) {
+            eject(nowMs, upstream, "silent for " + Math.round(silentMs) + " ms");
         }
     }
 
--- a/sidecar/src/test/java/gradehub/RetryPolicyTest.java
+++ b/sidecar/src/test/java/gradehub/RetryPolicyTest.java
@@ -25,14 +25,14 @@
 
     private static Call call(Effect effect, Group group) {
         ClassStats stats = new ClassStats(TestSettings.requestClass(effect, group, 1), TestSettings.TICK_MS);
-        stats.typicalMs = TYPICAL_MS;
+        stats.medianMs = TYPICAL_MS;
         return new Call(new Balancer.Request(1, 0, 0, 4000, false, 0), stats, 1, 0, USEFUL_UNTIL_MS, USEFUL_UNTIL_MS);
     }
 
     /** A call with one attempt, which ended with the outcome or, if that is null, is in flight. */
     private Call callWithAttempt(Effect effect, Group group, Outcome outcome) {
         Call call = call(effect, group);
-        call.begin(first, 0);
+        call.startAttempt(first, 0);
         if (outcome != null) {
             call.attempt(0).end(outcome);
         }
@@ -82,12 +82,12 @@
     }
 
     @Test
-    void attemptsStayWithinTheLimit() {
-        Call call = callWithAttempt(Effect.SAFE, Group.ALL, Outcome.ERROR);
-        call.begin(upstream(2), 0);
-        assertTrue(retries.allowsRetry(0, call, 3));
-        call.begin(upstream(3), 0);
-        assertFalse(retries.allowsRetry(0, call, 3));
+    void noMoreAttemptsThanTheLimit() {
+        Call call = sent(Effect.SAFE, Group.ALL, Outcome.ERROR);
+        call.startAttempt(upstream(2), 0);
+        assertTrue(retries.allows(0, call, 3));
+        call.startAttempt(upstream(3), 0);
+        assertFalse(retries.allows(0, call, 3));
     }
 
     @Test
