--- a/sidecar/src/main/java/gradehub/AdmissionControl.java
+++ b/sidecar/src/main/java/gradehub/AdmissionControl.java
@@ -12,7 +12,7 @@
 final class AdmissionControl {
 
     private static final double RESERVE = 1.2; // square roots of the limit, reserved for the best requests
-    private static final double WELL_SERVED = 0.9; // part of a class; below it the worst-served one gains value
+    private static final double WELL_SERVED = 0.9; // part of a class; below it the worst one gains value
     private static final double THROTTLE = 1.4; // attempts accepted for each one that ends in time
     private static final double DECAY = 0.85; // per tick, of the counts of ended attempts
 
@@ -70,16 +70,16 @@
         if (maxConnections == 0 || free >= reserved) {
             return null;
         }
-        Call least = waiting.stream()
+        Call least = queued.stream()
                 .min(Comparator.comparingDouble(Call::valuePerMs))
                 .orElse(call);
         if (least.valuePerMs() >= call.valuePerMs()) {
             double best = classes.stream()
                     .filter(stats -> stats.offered > 0)
-                    .mapToDouble(stats -> worth(stats) / stats.medianMs)
+                    .mapToDouble(stats -> answerValue(stats) / stats.medianMs)
                     .max()
                     .orElse(0);
-            least = left < kept * (1 - call.valuePerMs() / best) ? call : null;
+            least = free < reserved * (1 - call.valuePerMs() / best) ? call : null;
         }
         refused += least == null ? 0 : 1;
         return least;
--- a/sidecar/src/main/java/gradehub/ConcurrencyLimit.java
+++ b/sidecar/src/main/java/gradehub/ConcurrencyLimit.java
@@ -27,7 +27,7 @@
     }
 
     /**
-     * Adapts the limit to an answer, down to {@code minimum}. {@code headroom} is the part by which the answer
+     * Adapts the limit to an answer, down to {@code minimum}. {@code headroom} is the part by which it
      * was faster than a crowded upstream's, negative if slower. Intervals are multiples of {@code typicalMs}.
      */
     void adjust(double nowMs, int inFlight, double headroom, double minimum, double typicalMs) {
--- a/sidecar/src/main/java/gradehub/LoadShedder.java
+++ b/sidecar/src/main/java/gradehub/LoadShedder.java
@@ -13,25 +13,25 @@
     private static final double MIN_TIME_LEFT = 2.5; // typical latencies; a request with less left is shed
     private static final double MIN_TIME_LEFT_CAP = 0.65; // of the class's aim, for that
 
-    final TreeSet<Call> waiting = new TreeSet<>(
+    final TreeSet<Call> queue = new TreeSet<>(
             Comparator.comparingDouble((Call call) -> -call.value).thenComparingLong(call -> -call.arrival));
-    private int shed; // in this tick
+    private int shed; // requests in this tick
     private boolean shedding;
 
     /** Removes the requests that will be too late by the next control tick, for the caller to refuse. */
     List<Call> shed(double nowMs, double controlMs) {
-        List<Call> late = waiting.stream()
-                .filter(call -> call.deadlineMs - nowMs <= Math.max(controlMs, lastCallMs(call.stats)))
+        List<Call> late = queue.stream()
+                .filter(call -> call.deadlineMs - nowMs <= Math.max(controlMs, minTimeLeftMs(call.stats)))
                 .toList();
         shed += late.size();
         late.forEach(queue::remove);
         return late;
     }
 
-    /** The client holds a connection for what waits; but where all is slow the worthiest come first. */
-    private static double lastCallMs(ClassStats stats) {
-        double mostMs = LONGEST_CALL * stats.spec.aimMs();
-        return Math.max(stats.medianMs, Math.min(LAST_CALL * stats.medianMs, mostMs));
+    /** Shedding early frees the client's connection; the cap keeps the order by value where all is slow. */
+    private static double minTimeLeftMs(ClassStats stats) {
+        double capMs = MIN_TIME_LEFT_CAP * stats.spec.aimMs();
+        return Math.max(stats.medianMs, Math.min(MIN_TIME_LEFT * stats.medianMs, capMs));
     }
 
     boolean hasShed() {
--- a/sidecar/src/main/java/gradehub/LoadShiftingBalancer.java
+++ b/sidecar/src/main/java/gradehub/LoadShiftingBalancer.java
@@ -151,10 +151,10 @@
     }
 
     private void send(double nowMs, Call call, UpstreamState upstream) {
-        retries.sending(call);
+        retries.recordAttempt(call);
         call.startAttempt(upstream, nowMs);
-        slowStart.sent(upstream.slowStartBudget, call.costMs);
-        ejection.sent(nowMs, upstream, call.stats);
+        slowStart.recordAttempt(upstream.slowStartBudget, call.costMs);
+        ejection.recordAttempt(nowMs, upstream, call.stats);
         actions.send(call.id, upstream.id, call.deadlineMs - nowMs);
     }
 
@@ -289,7 +289,7 @@
     public void probeEnded(double nowMs, int upstream, Outcome outcome, double elapsedMs, double[] report) {
         UpstreamState probed = list.find(upstream);
         if (probed != null && outcome == Outcome.OK) {
-            ejection.answered(nowMs, probed, members.size());
+            ejection.recordAnswer(nowMs, probed, members.size());
             probed.updateLoad(nowMs, 1 + settings.requestsIn(report));
         } else if (probed != null) {
             probed.updateLoad(nowMs, Double.MAX_VALUE); // until it has answered another probe
@@ -342,7 +342,7 @@
             }
             double ageMs = nowMs - oldest.sentMs;
             guess(nowMs, upstream, Math.max(upstream.load, ageMs / oldest.call.stats.baselineMs()));
-            ejection.checkSilence(nowMs, upstream, oldest);
+            ejection.checkUnresponsive(nowMs, upstream, oldest);
             if (upstream.probation.ejected && settings.limits().secondCopies() && waiting.isEmpty()) {
                 for (Attempt attempt : upstream.attempts) {
                     copy(nowMs, attempt);
@@ -355,7 +355,8 @@
     private void copy(double nowMs, Attempt stuck) {
         Call call = stuck.call;
         boolean due = !call.done && call.inFlight == 1 && nowMs - stuck.sentMs > call.stats.medianMs;
-        boolean allowed = due && retries.allows(nowMs, call, settings.limits().maxAttempts());
+        boolean allowed =
+                due && retries.allowsRetry(nowMs, call, settings.limits().maxAttempts());
         UpstreamState other = allowed ? pick(nowMs, call) : null;
         if (other != null && other != stuck.upstream) {
             send(nowMs, call, other);
@@ -395,9 +396,9 @@
             serveWaiting(nowMs);
         } else if (!subscribeArmed) {
             subscribeArmed = true; // ever later, at random times: many sidecars ask one service
-            double longestMs = Math.min(ListTimes.PAUSE_MS, SHARE_TICK_MS / 4 * (1 << listFailures));
+            double maxMs = Math.min(DiscoveryTimeouts.MAX_DELAY_MS, SHARE_TICK_MS / 4 * (1 << listFailures));
             listFailures = Math.min(5, listFailures + 1);
-            actions.timer(longestMs * (1 + random.nextDouble()) / 2, SUBSCRIBE_TIMER);
+            actions.timer(maxMs * (1 + random.nextDouble()) / 2, SUBSCRIBE_TIMER);
         }
     }
 }
--- a/sidecar/src/main/java/gradehub/OutlierEjection.java
+++ b/sidecar/src/main/java/gradehub/OutlierEjection.java
@@ -35,7 +35,7 @@
         if (whole.failures >= CONSECUTIVE_FAILURES) {
             eject(nowMs, upstream, whole.failures + " consecutive failures");
         } else if (!whole.ejected && !ofClass.ejected && ofClass.failures >= CONSECUTIVE_FAILURES) {
-            actions.log(upstream + " is ejected for class " + stats.spec.name() + " alone: " + ofClass.failures
+            actions.log(upstream + " is ejected for class " + stats.spec.name() + " only: " + ofClass.failures
                     + " consecutive failures; sending trial requests");
             ofClass.eject(nowMs);
         }
@@ -50,7 +50,7 @@
         }
     }
 
-    void answered(double nowMs, UpstreamState upstream, int members) {
+    void recordAnswer(double nowMs, UpstreamState upstream, int members) {
         upstream.lastAnswerMs = nowMs;
         upstream.probation.failures = 0;
         if (upstream.probation.ejected) {
@@ -61,12 +61,12 @@
     }
 
     /** Ejects an upstream that is silent for too long; {@code oldest} is its oldest attempt in flight. */
-    void checkSilence(double nowMs, UpstreamState upstream, Attempt oldest) {
+    void checkUnresponsive(double nowMs, UpstreamState upstream, Attempt oldest) {
         double silentMs = nowMs - Math.max(upstream.lastAnswerMs, oldest.sentMs);
-        // One attempt alone is often slow by chance; several that wait together hardly are.
-        double enough = Math.max(SILENCE, oldest.call.stats.tailRatio) / upstream.inFlight;
-        if (silentMs > Math.max(LEAST_SILENCE, enough) * oldest.call.stats.medianMs) {
-            eject(nowMs, upstream, "silent for " + Math.round(silentMs) + " ms");
+        // A single attempt is often slow by chance; several at once hardly are.
+        double threshold = Math.max(SILENCE, oldest.call.stats.tailRatio) / upstream.inFlight;
+        if (silentMs > Math.max(MIN_SILENCE, threshold) * oldest.call.stats.medianMs) {
+            eject(nowMs, upstream, "no answer for " + Math.round(silentMs) + " ms");
         }
     }
 
--- a/sidecar/src/main/java/gradehub/SlowStart.java
+++ b/sidecar/src/main/java/gradehub/SlowStart.java
@@ -10,8 +10,8 @@
  */
 final class SlowStart {
 
-    private static final double MOST_RATE = 1.5; // of what a warm member of the size is sent
-    private static final double SAVED_MS = LoadShiftingBalancer.SHARE_TICK_MS / 4; // worth of saved tokens
+    private static final double MAX_RATE = 1.5; // of the load of a warm member of the same size
+    private static final double BURST_MS = LoadShiftingBalancer.SHARE_TICK_MS / 4; // of tokens may accumulate
 
     private final Balancer.Contract contract;
     private final double rate;
--- a/sidecar/src/main/java/gradehub/TokenBucket.java
+++ b/sidecar/src/main/java/gradehub/TokenBucket.java
@@ -13,7 +13,7 @@
 
     /**
      * Refills at {@code tokensPerMs} and returns whether a token is available. The bucket keeps what
-     * {@code burstMs} brings beyond one token. If that takes over {@code lapseMs}, an unused token lapses.
+     * {@code burstMs} brings beyond one token. If one takes over {@code lapseMs}, an unused one lapses.
      */
     boolean hasToken(double nowMs, double tokensPerMs, double burstMs, double lapseMs) {
         tokens += tokensPerMs * (nowMs - filledMs);
--- a/sidecar/src/main/java/gradehub/UpstreamList.java
+++ b/sidecar/src/main/java/gradehub/UpstreamList.java
@@ -70,7 +70,7 @@
                 full = false;
             }
             if (!full) {
-                upstream.limit.start(initialConcurrency());
+                upstream.limit.reset(initialConcurrency());
                 upstream.share = (upstream.listed.weight() + Double.MIN_NORMAL) / (weights > 0 ? weights : 1);
                 // Not one at once from each of many sidecars.
                 upstream.slowStartBudget.reset(nowMs, random.nextDouble());
--- a/sidecar/src/main/java/gradehub/UpstreamState.java
+++ b/sidecar/src/main/java/gradehub/UpstreamState.java
@@ -25,8 +25,8 @@
     double lastAnswerMs;
     double load; // quiet latencies that a request sent at the latest report would take
     double loadUpdatedMs = Double.NEGATIVE_INFINITY;
-    final Probation probation = new Probation(); // of it as a whole
-    private final Map<ClassStats, Probation> classProbation = new HashMap<>(); // of classes sent to it
+    final EjectionState probation = new EjectionState(); // of it as a whole
+    private final Map<ClassStats, EjectionState> classProbation = new HashMap<>(); // of classes sent to it
     final TokenBucket slowStartBudget = new TokenBucket();
 
     UpstreamState(Balancer.Upstream listed) {
--- a/sidecar/src/test/java/gradehub/LoadShedderTest.java
+++ b/sidecar/src/test/java/gradehub/LoadShedderTest.java
@@ -25,10 +25,10 @@
         }
     };
 
-    private Call waits(int order, double value, double deadlineMs) {
+    private Call enqueue(int order, double value, double deadlineMs) {
         Call call = new Call(
                 new Balancer.Request(order, 0, 0, 4000, false, 0), stats, value, order, deadlineMs, deadlineMs);
-        shedder.waiting.add(call);
+        shedder.queue.add(call);
         return call;
     }
 
@@ -41,10 +41,10 @@
     }
 
     @Test
-    void whatHasTwoAndAHalfTypicalLatenciesLeftIsShed() {
+    void shedsAtTwoAndAHalfTypicalLatenciesLeft() {
         stats.medianMs = 100;
-        Call soon = waits(1, 1, 1000);
-        Call later = waits(2, 1, 1001);
+        Call soon = enqueue(1, 1, 1000);
+        Call later = enqueue(2, 1, 1001);
         assertEquals(List.of(), shedder.shed(749, CONTROL_MS));
         assertFalse(shedder.hasShed());
         assertEquals(List.of(soon), shedder.shed(750, CONTROL_MS));
@@ -53,21 +53,21 @@
     }
 
     @Test
-    void whereAllIsSlowWaitingEndsLater() {
-        stats.medianMs = 500; // 2.5 of them would be more than the aim: 0.65 of the aim of 1,000 ms it is
-        Call call = waits(1, 1, 1000);
+    void shedsLaterWhenTypicalLatencyIsHigh() {
+        stats.medianMs = 500; // 2.5 of them exceed the aim of 1,000 ms, so 0.65 of the aim applies
+        Call call = enqueue(1, 1, 1000);
         assertEquals(List.of(), shedder.shed(349, CONTROL_MS));
         assertEquals(List.of(call), shedder.shed(350, CONTROL_MS));
-        stats.medianMs = 800; // but never less than one typical latency
-        waits(2, 1, 1000);
+        stats.medianMs = 800; // at least one typical latency
+        enqueue(2, 1, 1000);
         assertEquals(List.of(), shedder.shed(199, CONTROL_MS));
         assertEquals(1, shedder.shed(200, CONTROL_MS).size());
     }
 
     @Test
-    void whereAllIsQuickItWaitsForTheLastControlTick() {
+    void shedsAtTheLastControlTickWhenTypicalLatencyIsLow() {
         stats.medianMs = 1;
-        waits(1, 1, 1000);
+        enqueue(1, 1, 1000);
         assertEquals(List.of(), shedder.shed(939, CONTROL_MS));
         assertEquals(1, shedder.shed(940, CONTROL_MS).size());
     }
--- a/sidecar/src/test/java/gradehub/OutlierEjectionTest.java
+++ b/sidecar/src/test/java/gradehub/OutlierEjectionTest.java
@@ -77,7 +77,7 @@
         assertFalse(ejection.excludes(0, upstream, reads));
         assertEquals(
                 List.of(
-                        "upstream 3 is ejected for class class alone: 3 consecutive failures; sending trial requests",
+                        "upstream 3 is ejected for class class only: 3 consecutive failures; sending trial requests",
                         "upstream 3 serves class class again"),
                 logs);
     }
@@ -113,10 +113,10 @@
     }
 
     @Test
-    void oneSilentAttemptMayTakeAsLongAsTheTailOfItsClass() {
-        Attempt oldest = sent(1000);
+    void oneUnansweredAttemptEjectsAfterTheTailLatencyOfItsClass() {
+        Attempt oldest = send(1000);
         reads.tailRatio = 8;
-        ejection.checkSilence(1000 + 8 * TYPICAL_MS, upstream, oldest);
+        ejection.checkUnresponsive(1000 + 8 * TYPICAL_MS, upstream, oldest);
         assertEquals(List.of(), logs);
         ejection.checkUnresponsive(1000 + 8 * TYPICAL_MS + 1, upstream, oldest);
         assertEquals(List.of("upstream 3 is ejected: no answer for 801 ms; sending trial requests"), logs);
--- a/sidecar/src/test/java/gradehub/RetryPolicyTest.java
+++ b/sidecar/src/test/java/gradehub/RetryPolicyTest.java
@@ -82,12 +82,12 @@
     }
 
     @Test
-    void noMoreAttemptsThanTheLimit() {
-        Call call = sent(Effect.SAFE, Group.ALL, Outcome.ERROR);
+    void attemptsStayWithinTheLimit() {
+        Call call = callWithAttempt(Effect.SAFE, Group.ALL, Outcome.ERROR);
         call.startAttempt(upstream(2), 0);
-        assertTrue(retries.allows(0, call, 3));
+        assertTrue(retries.allowsRetry(0, call, 3));
         call.startAttempt(upstream(3), 0);
-        assertFalse(retries.allows(0, call, 3));
+        assertFalse(retries.allowsRetry(0, call, 3));
     }
 
     @Test
