--- a/sidecar/src/main/java/gradehub/LoadShiftingBalancer.java
+++ b/sidecar/src/main/java/gradehub/LoadShiftingBalancer.java
@@ -30,7 +30,7 @@
     private final RetryPolicy retries = new RetryPolicy();
     private final AdmissionControl admission;
     private final LoadShedder shedder = new LoadShedder();
-    private final TreeSet<Call> waiting = shedder.waiting;
+    private final TreeSet<Call> waiting = shedder.queue;
     private final double controlMs;
     private final List<ClassStats> classes = new ArrayList<>();
     private final UpstreamList list;
@@ -78,10 +78,10 @@
         Call call = new Call(request, stats, value, received++, nowMs + aimMs, nowMs + validMs);
         call.firstArrivalMs = nowMs - elapsedMs;
         calls.put(call.id, call);
-        slowStart.requested(call.costMs);
-        retries.requested();
+        slowStart.recordRequest(call.costMs);
+        retries.recordRequest();
         armControl();
-        Call displaced = admission.displaced(call, calls.size(), waiting);
+        Call displaced = admission.selectRefused(call, calls.size(), waiting);
         if (displaced != null) {
             waiting.remove(displaced);
             answerUnserved(displaced);
@@ -151,10 +151,10 @@
     }
 
     private void send(double nowMs, Call call, UpstreamState upstream) {
-        retries.sending(call);
+        retries.recordAttempt(call);
         call.startAttempt(upstream, nowMs);
-        slowStart.sent(upstream.slowStartBudget, call.costMs);
-        ejection.sent(nowMs, upstream, call.stats);
+        slowStart.recordAttempt(upstream.slowStartBudget, call.costMs);
+        ejection.recordAttempt(nowMs, upstream, call.stats);
         actions.send(call.id, upstream.id, call.deadlineMs - nowMs);
     }
 
@@ -199,8 +199,8 @@
         UpstreamState upstream = attempt.upstream;
         ClassStats stats = attempt.call.stats;
         if (how == Outcome.OK) {
-            ejection.answered(nowMs, upstream, members.size());
-            ejection.served(upstream, stats);
+            ejection.recordAnswer(nowMs, upstream, members.size());
+            ejection.recordClassSuccess(upstream, stats);
             attempt.call.served = true;
             stats.recordAnswer(latencyMs);
             upstream.recordLatencyRatio(latencyMs / stats.baselineMs());
@@ -289,7 +289,7 @@
     public void probeEnded(double nowMs, int upstream, Outcome outcome, double elapsedMs, double[] report) {
         UpstreamState probed = list.find(upstream);
         if (probed != null && outcome == Outcome.OK) {
-            ejection.answered(nowMs, probed, members.size());
+            ejection.recordAnswer(nowMs, probed, members.size());
             probed.updateLoad(nowMs, 1 + settings.requestsIn(report));
         } else if (probed != null) {
             probed.updateLoad(nowMs, Double.MAX_VALUE); // until it answers a later probe
@@ -327,7 +327,7 @@
 
     @Override
     public void clientRoom(int requests) {
-        admission.connections = requests;
+        admission.maxConnections = requests;
     }
 
     private void checkMembers(double nowMs) {
@@ -397,7 +397,7 @@
             subscribeArmed = true; // backoff with jitter: many sidecars use one service
             double longestMs = Math.min(ListTimes.PAUSE_MS, SHARE_TICK_MS / 4 * (1 << listFailures));
             listFailures = Math.min(5, listFailures + 1);
-            actions.timer(longestMs * (1 + random.nextDouble()) / 2, SUBSCRIBE_TIMER);
+            actions.timer(maxMs * (1 + random.nextDouble()) / 2, SUBSCRIBE_TIMER);
         }
     }
 }
--- a/sidecar/src/main/java/gradehub/UpstreamList.java
+++ b/sidecar/src/main/java/gradehub/UpstreamList.java
@@ -70,7 +70,7 @@
                 full = false;
             }
             if (!full) {
-                upstream.limit.start(initialConcurrency());
+                upstream.limit.reset(initialConcurrency());
                 upstream.share = (upstream.listed.weight() + Double.MIN_NORMAL) / (weights > 0 ? weights : 1);
                 // Random, so that many sidecars do not all send their first attempt at once.
                 upstream.slowStartBudget.start(nowMs, random.nextDouble());
--- a/sidecar/src/main/java/gradehub/UpstreamState.java
+++ b/sidecar/src/main/java/gradehub/UpstreamState.java
@@ -34,8 +34,8 @@
         this.listed = listed;
     }
 
-    Probation probation(ClassStats stats) {
-        return classProbation.computeIfAbsent(stats, unused -> new Probation());
+    EjectionState probation(ClassStats stats) {
+        return classProbation.computeIfAbsent(stats, unused -> new EjectionState());
     }
 
     /** The relative margin of a latency below that of an overloaded upstream; negative if above. */
--- a/sidecar/src/main/java/gradehub/node/ClientConnection.java
+++ b/sidecar/src/main/java/gradehub/node/ClientConnection.java
@@ -40,7 +40,7 @@
     /** Requests in hand, beyond which no more is read. */
     private static final int MOST_OWED = 4;
 
-    private final LookingChannel channel;
+    private final ReadAheadChannel channel;
     private final ClientServer server;
     private final ArrayDeque<Owed> owed = new ArrayDeque<>();
     /** Since when the client has been silent, sending, or not reading, in this order of the fields; 0 where not. */
@@ -60,7 +60,7 @@
     /** Whether what was unread when the request was overdue has had its chance. */
     private boolean lookedAgain;
 
-    ClientConnection(LookingChannel channel, ClientServer server) {
+    ClientConnection(ReadAheadChannel channel, ClientServer server) {
         this.channel = channel;
         this.server = server;
     }
@@ -93,7 +93,7 @@
 
         @Override
         public boolean hasLeft() {
-            return channel.hasEnded();
+            return channel.isClosedByPeer();
         }
 
         private void answer(FullHttpResponse message) {
@@ -105,7 +105,7 @@
         /** Its identifier may come again. */
         private void release() {
             if (id != null) {
-                server.ended(id);
+                server.releaseId(id);
             }
             id = null;
         }
@@ -123,7 +123,7 @@
         openedMs = server.nowMs();
         openedLagMs = server.lagMs();
         sendsSinceMs = openedMs;
-        server.keeper().opened(this);
+        server.connections().opened(this);
     }
 
     // ---- Requests.
@@ -174,7 +174,7 @@
         Owed next = new Owed(HttpUtil.isKeepAlive(message));
         owed.add(next);
         readWhileThereIsRoom();
-        if (server.isReadyCheck(message)) {
+        if (server.isReadinessCheck(message)) {
             next.answer(response(
                     server.ready() ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE, new byte[0]));
         } else {
@@ -194,9 +194,9 @@
 
     private void take(FullHttpRequest message, Owed next) {
         try {
-            ClientRequest request = server.read(message);
+            ClientRequest request = server.parse(message);
             next.id = request.id();
-            next.exchange = server.take(request, unreadMs(), next);
+            next.exchange = server.submit(request, unreadMs(), next);
         } catch (RejectedException e) {
             // Else a client could have the event loop answer all that it sends, thousands of requests in a row.
             deaf = true;
@@ -219,7 +219,7 @@
         deaf = true;
         Owed last = new Owed(false);
         owed.add(last);
-        last.answer(response(RequestGuard.status(cause), new byte[0]));
+        last.answer(response(RequestValidator.status(cause), new byte[0]));
     }
 
     // ---- Answers.
@@ -242,13 +242,13 @@
         }
         if (owed.isEmpty() && sendsSinceMs == 0) {
             restsSinceMs = server.nowMs();
-            server.keeper().used(this);
+            server.connections().used(this);
         }
         readWhileThereIsRoom();
     }
 
     private boolean endsWithThisAnswer() {
-        return server.closing() || !answered && server.keeper().isCrowded();
+        return server.closing() || !answered && server.connections().isCrowded();
     }
 
     private void readWhileThereIsRoom() {
@@ -273,7 +273,7 @@
                 || carriesNothing()
                         && (restsSinceMs > 0 && nowMs - restsSinceMs > REST_MS
                                 || silent && nowMs - sendsSinceMs > SILENT_MS);
-        if (!canGo || !channel.isQuiet()) {
+        if (!canGo || !channel.isOpenWithoutInput()) {
             return false;
         }
         if (ending) {
@@ -308,7 +308,7 @@
 
     /** The clock alone does not tell: what came in time may lie unread for want of processor time. */
     private boolean isReadUp() {
-        boolean readUp = lookedAgain || channel.isQuiet();
+        boolean readUp = lookedAgain || channel.isOpenWithoutInput();
         lookedAgain = true;
         return readUp;
     }
@@ -316,7 +316,7 @@
     /** One on which a request has begun to come, or may be about to, is not idle: it ends with the answer to that. */
     void endIfIdle(double nowMs) {
         boolean begun = sendsSinceMs > 0 && (!silent || nowMs - sendsSinceMs <= SILENT_MS);
-        if (carriesNothing() && !begun && channel.isQuiet()) {
+        if (carriesNothing() && !begun && channel.isOpenWithoutInput()) {
             end();
         }
     }
@@ -341,13 +341,13 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
-        server.keeper().closed(this);
+        server.connections().closed(this);
         for (Owed request = owed.poll(); request != null; request = owed.poll()) {
             request.release();
             if (request.response != null) {
                 request.response.release();
             } else if (request.exchange != null) {
-                server.left(request.exchange);
+                server.clientClosed(request.exchange);
             }
         }
     }
--- /dev/null
+++ b/sidecar/src/main/java/gradehub/node/ReadAheadChannel.java
@@ -0,0 +1,259 @@
+package gradehub.node;
+
+import io.netty.buffer.ByteBuf;
+import io.netty.channel.Channel;
+import io.netty.channel.ChannelOutboundBuffer;
+import io.netty.channel.ChannelPromise;
+import io.netty.channel.nio.NioIoOps;
+import io.netty.channel.socket.nio.NioSocketChannel;
+import java.io.IOException;
+import java.net.SocketAddress;
+import java.nio.channels.SocketChannel;
+
+/**
+ * A socket channel that can check for unread input, or for a close by the peer, ahead of the event loop's next read.
+ * Input that a check reads is buffered and delivered through the pipeline as usual. The channel's configuration sets
+ * TCP_NODELAY where the system permits it; as an option of the bootstrap, a failure to set it would close the connection.
+ */
+final class ReadAheadChannel extends NioSocketChannel {
+
+    /** Limit of the buffer, larger than any request. A close behind more input than this is not detected. */
+    private static final int MAX_BUFFERED_BYTES = 1 << 17;
+
+    private static final int BUFFER_INCREMENT_BYTES = 1024;
+
+    /** Result of a socket read at the end of the stream; other negative results do not mean the end. */
+    private static final int END_OF_STREAM = -1;
+    /** Limit of interrupted reads in one check; the event loop reads the rest. */
+    private static final int MAX_INTERRUPTED_READS = 16;
+
+    private ByteBuf buffered;
+    private boolean inputEnded;
+    /** Null until the channel is registered with an event loop. */
+    private RegistrationMonitor registrationMonitor;
+    /** Whether the read in progress was started without a readiness report from the selector. */
+    private boolean unreportedRead;
+
+    /** Whether a check has completed the connect and the event loop has not processed it yet. */
+    private boolean connectCompleted;
+
+    private IOException connectFailure;
+    /** Created once: a lambda created on a rare path would be linked while requests wait. */
+    private final Runnable closeTask = this::close;
+
+    private final Runnable readTask = this::readBuffered;
+
+    /** Creates a channel for an outgoing connection. */
+    ReadAheadChannel() {}
+
+    /** Creates a channel for an accepted connection. */
+    ReadAheadChannel(Channel parent, SocketChannel accepted) {
+        super(parent, accepted);
+    }
+
+    /** Returns whether the channel is open and has no unread input. */
+    boolean isOpenWithoutInput() {
+        return !isClosedByPeer() && buffered == null;
+    }
+
+    /** Returns whether the peer has closed or reset the connection, or this side has closed it. A silent peer has not. */
+    boolean isClosedByPeer() {
+        if (isActive() && !inputEnded) {
+            fillBuffer();
+        }
+        return inputEnded || !isActive();
+    }
+
+    private void fillBuffer() {
+        if (buffered == null) {
+            // Array-backed: copying between buffers uses a method handle that would be compiled while requests wait.
+            buffered = alloc().heapBuffer(BUFFER_INCREMENT_BYTES, MAX_BUFFERED_BYTES);
+        }
+        int before = buffered.readableBytes();
+        try {
+            inputEnded = readIntoBuffer() == END_OF_STREAM;
+        } catch (IOException e) {
+            inputEnded = true;
+            scheduleClose();
+        }
+        if (buffered.readableBytes() > before) {
+            scheduleRead();
+        }
+        releaseIfEmpty();
+    }
+
+    /** Reads the available input into the buffer and returns the result of the last read. */
+    private int readIntoBuffer() throws IOException {
+        int read = 1;
+        int interrupted = 0;
+        while ((read > 0 || read < END_OF_STREAM && interrupted++ < MAX_INTERRUPTED_READS)
+                && buffered.maxWritableBytes() > 0) {
+            buffered.ensureWritable(Math.min(BUFFER_INCREMENT_BYTES, buffered.maxWritableBytes()));
+            read = buffered.writeBytes(javaChannel(), buffered.writableBytes());
+        }
+        return read;
+    }
+
+    /** Closes the channel from the event loop, which cannot see an error that a check has already consumed. */
+    private void scheduleClose() {
+        eventLoop().execute(closeTask);
+    }
+
+    private void releaseIfEmpty() {
+        if (buffered != null && !buffered.isReadable()) {
+            buffered.release();
+            buffered = null;
+        }
+    }
+
+    /** Schedules a read of the buffered input: the selector does not report input already read from the socket. */
+    private void scheduleRead() {
+        eventLoop().execute(readTask);
+    }
+
+    private void readBuffered() {
+        if (buffered != null && isOpen() && config().isAutoRead()) {
+            readUnreported();
+        }
+    }
+
+    // ---- Readiness that the selector may fail to report.
+
+    @Override
+    protected void doRegister(ChannelPromise promise) {
+        registrationMonitor = new RegistrationMonitor(this, this::registration, this::check);
+        super.doRegister(promise);
+    }
+
+    @Override
+    protected boolean doConnect(SocketAddress remote, SocketAddress local) throws Exception {
+        boolean connected = super.doConnect(remote, local);
+        if (!connected) {
+            registrationMonitor.registrationChanged();
+        }
+        return connected;
+    }
+
+    @Override
+    protected void doFinishConnect() throws Exception {
+        if (connectFailure != null) {
+            throw connectFailure;
+        }
+        connectCompleted = false;
+        super.doFinishConnect();
+    }
+
+    /** Stays false until the event loop finishes the connect, because that step notifies the handlers. */
+    @Override
+    public boolean isActive() {
+        return !connectCompleted && super.isActive();
+    }
+
+    @Override
+    protected void doWrite(ChannelOutboundBuffer output) throws Exception {
+        super.doWrite(output);
+        if (registrationMonitor.isInterestedIn(NioIoOps.WRITE)) {
+            registrationMonitor.registrationChanged();
+        }
+    }
+
+    private void check(NioIoOps interest) {
+        if (interest.contains(NioIoOps.CONNECT)) {
+            checkConnect();
+            return;
+        }
+        if (interest.contains(NioIoOps.WRITE)) {
+            checkWrite();
+        }
+        if (interest.contains(NioIoOps.READ)) {
+            checkRead();
+        }
+    }
+
+    private void checkConnect() {
+        try {
+            connectCompleted = javaChannel().finishConnect();
+        } catch (IOException e) {
+            connectFailure = e;
+        }
+        if (connectCompleted) {
+            removeAndSubmit(NioIoOps.CONNECT);
+        }
+        if (connectCompleted || connectFailure != null) {
+            unsafe().finishConnect();
+            registrationMonitor.renew("connecting");
+        }
+    }
+
+    private void checkWrite() {
+        ChannelOutboundBuffer output = unsafe().outboundBuffer();
+        long before = output.totalPendingWriteBytes();
+        unsafe().forceFlush();
+        if (output.totalPendingWriteBytes() < before) {
+            registrationMonitor.renew("writing");
+        }
+    }
+
+    private void checkRead() {
+        if (isOpenWithoutInput()) {
+            return;
+        }
+        readUnreported();
+        registrationMonitor.renew("reading");
+    }
+
+    /** Reads without a readiness report from the selector. */
+    private void readUnreported() {
+        unreportedRead = true;
+        try {
+            unsafe().read();
+        } finally {
+            unreportedRead = false;
+        }
+    }
+
+    // ---- Reading.
+
+    @Override
+    protected void doBeginRead() throws Exception {
+        boolean registers = !registrationMonitor.isInterestedIn(NioIoOps.READ);
+        super.doBeginRead();
+        if (registers) {
+            registrationMonitor.registrationChanged();
+        }
+        if (buffered != null) {
+            scheduleRead();
+        }
+    }
+
+    @Override
+    protected int doReadBytes(ByteBuf target) throws Exception {
+        if (!unreportedRead) {
+            registrationMonitor.readReadinessReported();
+        }
+        if (buffered == null) {
+            int read = super.doReadBytes(target);
+            return read < END_OF_STREAM ? 0 : read; // interrupted read: the selector reports the input again
+        }
+        int bytes = Math.min(buffered.readableBytes(), target.writableBytes());
+        target.writeBytes(buffered.array(), buffered.arrayOffset() + buffered.readerIndex(), bytes);
+        buffered.skipBytes(bytes);
+        releaseIfEmpty();
+        if (buffered != null) {
+            scheduleRead();
+        }
+        return bytes;
+    }
+
+    @Override
+    protected void doClose() throws Exception {
+        if (buffered != null) {
+            buffered.release();
+            buffered = null;
+        }
+        if (registrationMonitor != null) {
+            registrationMonitor.closed();
+        }
+        super.doClose();
+    }
+}
--- a/sidecar/src/main/java/gradehub/node/Sidecar.java
+++ b/sidecar/src/main/java/gradehub/node/Sidecar.java
@@ -53,7 +53,7 @@
     /** How much longer the shutdown waits for connections without requests. */
     private long drainLeftMs;
 
-    private Sidecar(EventLoop loop, Config config, Supplier<LookingChannel> channelFactory) {
+    private Sidecar(EventLoop loop, Config config, Supplier<ReadAheadChannel> channelFactory) {
         this.loop = loop;
         SocketBudget sockets = new SocketBudget(config.sockets());
         Clock clock = new Clock();
@@ -126,11 +126,11 @@
 
     /** Creates a sidecar that does not listen yet. */
     static Sidecar create(Config config) {
-        return create(config, LookingChannel::new);
+        return create(config, ReadAheadChannel::new);
     }
 
     /** Creates a sidecar with a custom factory for the channels of outgoing connections. */
-    static Sidecar create(Config config, Supplier<LookingChannel> channelFactory) {
+    static Sidecar create(Config config, Supplier<ReadAheadChannel> channelFactory) {
         EventLoopGroup group =
                 new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory(new ObservedSelectorProvider()));
         EventLoop loop = group.next();
@@ -163,7 +163,7 @@
 
     /** Returns the number of open client connections. */
     int clients() {
-        return clients.open();
+        return clients.openConnections();
     }
 
     /** Returns the lag of the event loop: how long input from clients may have waited. */
@@ -234,7 +234,7 @@
     /** Retries a failed accept first: closing the listener resets the connections that are still pending. */
     void stopListening() {
         finalAccepts++;
-        if (!clients.acceptWaiting() && finalAccepts < MAX_FINAL_ACCEPTS) {
+        if (!clients.acceptPending() && finalAccepts < MAX_FINAL_ACCEPTS) {
             loop.schedule(stopListening, POLL_MS, TimeUnit.MILLISECONDS);
             return;
         }
@@ -245,7 +245,7 @@
 
     /** Runs the periodic check that closes overdue client connections. */
     void closeOverdueClients() {
-        clients.look();
+        clients.closeOverdue();
     }
 
     /**
@@ -253,7 +253,7 @@
      * last answer, an idle one by itself. Clients that do not read their answers are not waited for.
      */
     private void shutDownWhenDrained() {
-        if (engine.inHand() == 0 && (clients.open() == 0 || drainLeftMs <= 0)) {
+        if (engine.inHand() == 0 && (clients.openConnections() == 0 || drainLeftMs <= 0)) {
             halt();
             return;
         }
--- a/sidecar/src/main/java/gradehub/node/UpstreamConnection.java
+++ b/sidecar/src/main/java/gradehub/node/UpstreamConnection.java
@@ -54,7 +54,7 @@
 
     final Upstreams.Pool pool;
     private final Upstreams upstreams;
-    private final LookingChannel channel;
+    private final ReadAheadChannel channel;
     private final AnswerDecoder decoder = new AnswerDecoder();
     private Attempt attempt;
     /** Whether the first byte of the attempt may be out. */
@@ -70,7 +70,7 @@
     private int interim;
     private double idleSinceMs;
 
-    UpstreamConnection(Upstreams upstreams, Upstreams.Pool pool, LookingChannel channel) {
+    UpstreamConnection(Upstreams upstreams, Upstreams.Pool pool, ReadAheadChannel channel) {
         this.upstreams = upstreams;
         this.pool = pool;
         this.channel = channel;
@@ -142,7 +142,7 @@
                 request.headers().copy(),
                 DefaultHttpHeadersFactory.trailersFactory().newEmptyHeaders());
         double leftMs = carried.capMs - (upstreams.nowMs() - carried.sentMs);
-        message.headers().set(ClientRequest.REMAINING, (long) Math.max(1, leftMs));
+        message.headers().set(ClientRequest.REMAINING_MS, (long) Math.max(1, leftMs));
         if (request.body().length > 0 || !request.method().name().equals("GET")) {
             HttpUtil.setContentLength(message, request.body().length);
         }
@@ -281,7 +281,7 @@
     }
 
     boolean isQuiet() {
-        return channel.isQuiet();
+        return channel.isOpenWithoutInput();
     }
 
     void close() {
--- a/sidecar/src/test/java/gradehub/FailureHandlingTest.java
+++ b/sidecar/src/test/java/gradehub/FailureHandlingTest.java
@@ -70,7 +70,7 @@
         double later = sidecar.now;
         runLoad(sidecar, 8000, 10, onlyAt(2, fault));
         assertTrue(sentTo(sidecar, 2, later) <= 12, "trial attempts only: " + sentTo(sidecar, 2, later));
-        assertTrue(sidecar.logs.stream().anyMatch(line -> line.startsWith("upstream 2 is set aside")));
+        assertTrue(sidecar.logs.stream().anyMatch(line -> line.startsWith("upstream 2 is ejected")));
         runLoad(sidecar, 15_000, 10, HEALTHY);
         long last = sentTo(sidecar, 2, sidecar.now - 5000);
         assertTrue(last > 10, "attempts after readmission: " + last);
@@ -196,8 +196,8 @@
         int refused = sidecar.refused;
         runLoad(sidecar, 5000, 10, HEALTHY);
         assertEquals(refused, sidecar.refused);
-        assertTrue(sidecar.logs.contains("all members full: refusing requests"));
-        assertTrue(sidecar.logs.contains("nothing refused any more"));
+        assertTrue(sidecar.logs.contains("all members at their limits: shedding requests"));
+        assertTrue(sidecar.logs.contains("load shedding ended"));
     }
 
     @Test
--- a/sidecar/src/test/java/gradehub/LowTrafficTest.java
+++ b/sidecar/src/test/java/gradehub/LowTrafficTest.java
@@ -117,7 +117,7 @@
         sidecar.advance(250); // 5 times the median latency
         assertEquals(List.of(), sidecar.logs);
         sidecar.advance(350); // 12 times
-        assertTrue(sidecar.logs.get(0).contains("is set aside, silent for"));
+        assertTrue(sidecar.logs.get(0).contains("is ejected: no answer for"));
     }
 
     @Test
