--- a/sidecar/src/main/java/gradehub/Balancer.java
+++ b/sidecar/src/main/java/gradehub/Balancer.java
@@ -213,7 +213,7 @@
     record Limits(int maxAttempts, boolean secondCopies, boolean cancel, boolean probes, double maxRetryAfterMs) {
         /** Rejects a limit below one attempt. */
         public Limits {
-            require(maxAttempts >= 1, "maximum number of attempts must be at least 1");
+            require(maxAttempts >= 1, "at least one attempt must be allowed");
         }
     }
 
@@ -221,7 +221,7 @@
     record Contract(double coldFrom, double coldMs, double overloadFactor, double overloadMs, double askEveryMs) {
         /** Rejects a cold capacity outside (0, 1], negative times and non-positive factors. */
         public Contract {
-            require(coldFrom > 0 && coldFrom <= 1, "cold capacity of the contract must be above 0 and at most 1");
+            require(coldFrom > 0 && coldFrom <= 1, "cold share must be above 0 and at most 1");
             require(coldMs >= 0 && overloadMs >= 0, "times of the contract must not be negative");
             require(
                     overloadFactor > 0 && askEveryMs > 0,
--- a/sidecar/src/main/java/gradehub/LoadShiftingBalancer.java
+++ b/sidecar/src/main/java/gradehub/LoadShiftingBalancer.java
@@ -74,7 +74,7 @@
         double aimMs = Math.min(answerMs, stats.spec.aimMs() - elapsedMs - 2 * settings.tickMs());
         double validMs = stats.spec.lateWorth() == 0 ? aimMs : answerMs; // late answers may have value
         stats.offered++;
-        double value = admission.worth(stats) * (request.repeat() || elapsedMs > 0 ? REPEAT_VALUE : 1);
+        double value = admission.answerValue(stats) * (request.repeat() || elapsedMs > 0 ? REPEAT_VALUE : 1);
         Call call = new Call(request, stats, value, received++, nowMs + aimMs, nowMs + validMs);
         call.firstArrivalMs = nowMs - elapsedMs;
         calls.put(call.id, call);
@@ -93,7 +93,7 @@
 
     private void dispatchOrQueue(double nowMs, Call call) {
         if (AdmissionControl.isTooLate(nowMs, call)
-                || call.attempts.isEmpty() && isLowTraffic() && admission.throttles(random.nextDouble())) {
+                || call.attempts.isEmpty() && lowTraffic() && admission.shouldThrottle(random.nextDouble())) {
             answerUnserved(call);
         } else if (!waiting.isEmpty() || !dispatch(nowMs, call)) {
             waiting.add(call);
@@ -129,7 +129,7 @@
             boolean tried = call.attempts.size() < members.size() && call.hasTried(upstream);
             boolean excluded = tried || avoidEjected && ejection.excludes(nowMs, upstream, call.stats);
             if (!excluded && eligible(nowMs, call, upstream)) {
-                double weight = upstream.share * slowStart.warmth(nowMs, upstream.listed);
+                double weight = upstream.share * slowStart.capacityFraction(nowMs, upstream.listed);
                 sum += weight;
                 drawn = random.nextDouble() * sum < weight ? upstream : drawn;
             }
@@ -138,8 +138,8 @@
     }
 
     private boolean eligible(double nowMs, Call call, UpstreamState upstream) {
-        double warmth = slowStart.warmth(nowMs, upstream.listed);
-        return retries.allowsAt(nowMs, call, upstream)
+        double warmth = slowStart.capacityFraction(nowMs, upstream.listed);
+        return retries.allowsRetryAt(nowMs, call, upstream)
                 && upstream.limit.admits(nowMs, upstream.inFlight, warmth)
                 && (warmth >= 1 || admitsWarming(nowMs, call, upstream, warmth))
                 && !call.wouldMissAim(nowMs, upstream);
@@ -162,7 +162,7 @@
         nextShareTickMs = nowMs + SHARE_TICK_MS;
         LoadShares.update(nowMs, members);
         // If single attempts stay slow, the baseline latency rises: the servers are slow, there is no queue.
-        boolean starved = shedder.hasShed() && members.stream().allMatch(member -> member.limit.isSingle());
+        boolean starved = shedder.hasShed() && members.stream().allMatch(member -> member.limit.atMostOne());
         classes.forEach(stats -> stats.tick(starved));
         members.forEach(UpstreamState::tick);
         slowStart.tick();
@@ -187,7 +187,7 @@
         if (end.requestDone() || call.done) {
             finish(call);
         } else if (call.inFlight == 0
-                && retries.allows(nowMs, call, settings.limits().maxAttempts())) {
+                && retries.allowsRetry(nowMs, call, settings.limits().maxAttempts())) {
             dispatchOrQueue(nowMs, call);
         } else if (call.inFlight == 0) {
             answerUnserved(call);
@@ -215,7 +215,7 @@
             // A client's short timeout is no evidence of a faulty upstream.
             boolean shortTimeout = how == Outcome.TIMEOUT && latencyMs < MIN_TIMEOUT * stats.medianMs;
             if (!shortTimeout) {
-                ejection.failed(nowMs, upstream, stats);
+                ejection.recordFailure(nowMs, upstream, stats);
             }
         }
         admission.attemptEnded(how == Outcome.OK && latencyMs <= stats.spec.aimMs());
@@ -231,7 +231,7 @@
     }
 
     private void answerUnserved(Call call) {
-        if (retries.isRepeatHarmless(call)) {
+        if (retries.isSafeToRepeat(call)) {
             actions.refuse(call.id, settings.limits().maxRetryAfterMs());
         } else {
             actions.fail(call.id);
@@ -281,7 +281,7 @@
         }
     }
 
-    private boolean isLowTraffic() {
+    private boolean lowTraffic() {
         return !probesBeforeSend && list.initialConcurrency() < 1;
     }
 
@@ -300,7 +300,7 @@
 
     /** Estimates load from the latest attempt: at low traffic a sidecar has no other sign of a queue. */
     private void estimateLoad(double nowMs, UpstreamState upstream, double load) {
-        if (upstream.loadUpdatedMs < nowMs && isLowTraffic()) {
+        if (upstream.loadUpdatedMs < nowMs && lowTraffic()) {
             upstream.updateLoad(nowMs, load);
         }
     }
@@ -333,7 +333,7 @@
     private void checkMembers(double nowMs) {
         for (UpstreamState upstream : members) {
             if (probesBeforeSend && upstream.probation.ejected && !upstream.probation.excludes(nowMs)) {
-                upstream.probation.tried(nowMs);
+                upstream.probation.trialSent(nowMs);
                 actions.probe(upstream.id);
             }
             Attempt oldest = upstream.attempts.peekFirst();
@@ -342,7 +342,7 @@
             }
             double ageMs = nowMs - oldest.sentMs;
             estimateLoad(nowMs, upstream, Math.max(upstream.load, ageMs / oldest.call.stats.baselineMs()));
-            ejection.checkSilence(nowMs, upstream, oldest);
+            ejection.checkUnresponsive(nowMs, upstream, oldest);
             if (upstream.probation.ejected && settings.limits().secondCopies() && waiting.isEmpty()) {
                 for (Attempt attempt : upstream.attempts) {
                     sendSecondCopy(nowMs, attempt);
@@ -355,7 +355,8 @@
     private void sendSecondCopy(double nowMs, Attempt stuck) {
         Call call = stuck.call;
         boolean due = !call.done && call.inFlight == 1 && nowMs - stuck.sentMs > call.stats.medianMs;
-        boolean allowed = due && retries.allows(nowMs, call, settings.limits().maxAttempts());
+        boolean allowed =
+                due && retries.allowsRetry(nowMs, call, settings.limits().maxAttempts());
         UpstreamState other = allowed ? choose(nowMs, call) : null;
         if (other != null && other != stuck.upstream) {
             send(nowMs, call, other);
@@ -395,7 +396,7 @@
             dispatchWaiting(nowMs);
         } else if (!subscribeArmed) {
             subscribeArmed = true; // backoff with jitter: many sidecars use one service
-            double longestMs = Math.min(ListTimes.PAUSE_MS, SHARE_TICK_MS / 4 * (1 << listFailures));
+            double maxMs = Math.min(DiscoveryTimeouts.MAX_DELAY_MS, SHARE_TICK_MS / 4 * (1 << listFailures));
             listFailures = Math.min(5, listFailures + 1);
             actions.timer(maxMs * (1 + random.nextDouble()) / 2, SUBSCRIBE_TIMER);
         }
--- a/sidecar/src/main/java/gradehub/UpstreamList.java
+++ b/sidecar/src/main/java/gradehub/UpstreamList.java
@@ -73,7 +73,7 @@
                 upstream.limit.reset(initialConcurrency());
                 upstream.share = (upstream.listed.weight() + Double.MIN_NORMAL) / (weights > 0 ? weights : 1);
                 // Random, so that many sidecars do not all send their first attempt at once.
-                upstream.slowStartBudget.start(nowMs, random.nextDouble());
+                upstream.slowStartBudget.reset(nowMs, random.nextDouble());
                 members.add(upstream);
             }
             upstream.consideredForSubset = true;
--- a/sidecar/src/main/java/gradehub/UpstreamState.java
+++ b/sidecar/src/main/java/gradehub/UpstreamState.java
@@ -25,8 +25,8 @@
     double lastAnswerMs;
     double load; // latency expected at the latest report, in baseline latencies
     double loadUpdatedMs = Double.NEGATIVE_INFINITY;
-    final Probation probation = new Probation(); // for all classes
-    private final Map<ClassStats, Probation> classProbation = new HashMap<>(); // for single classes
+    final EjectionState probation = new EjectionState(); // for all classes
+    private final Map<ClassStats, EjectionState> classProbation = new HashMap<>(); // for single classes
     final TokenBucket slowStartBudget = new TokenBucket();
 
     UpstreamState(Balancer.Upstream listed) {
