--- a/sidecar/src/main/java/gradehub/node/ArchiveCheck.java
+++ b/sidecar/src/main/java/gradehub/node/ArchiveCheck.java
@@ -17,28 +17,29 @@
 import java.util.spi.ToolProvider;
 
 /**
- * The last step of the build: compares the class archive with the jar. Each class that serves has to be in it, and each
- * place in one that makes a lambda has to have been linked, or the training run has not come by it.
+ * The last step of the build: verifies the class archive against the jar. The archive must contain each class that a
+ * serving sidecar may need, with all of its lambda call sites linked. A missing one means that the training run did not
+ * exercise that code.
  */
 public final class ArchiveCheck {
 
-    private static final String CLASS_FILE = ".class";
-    private static final Pattern PRODUCT = Pattern.compile("gradehub\\..*");
-    /** What runs in the build or the simulator alone. */
+    private static final String CLASS_FILE_SUFFIX = ".class";
+    private static final Pattern PROJECT_CLASS = Pattern.compile("gradehub\\..*");
+    /** Classes that are used only in the build or in the simulator. */
     private static final Pattern NOT_SERVING =
             Pattern.compile("gradehub\\.(benchlink\\..*|Main|node\\.(Training|Archive)[^.]*|.*package-info)");
 
-    private static final Pattern ARCHIVED = Pattern.compile("^ *\\d+: (gradehub\\.[^ ]+) app_loader.*");
+    private static final Pattern ARCHIVED_CLASS = Pattern.compile("^ *\\d+: (gradehub\\.[^ ]+) app_loader.*");
     private static final Pattern LAMBDA_HOST = Pattern.compile("(gradehub\\.[^ ]+?)\\$\\$Lambda.*");
     private static final Pattern DISASSEMBLED_CLASS =
             Pattern.compile("^(?:[a-z]+ )*(?:class|interface|enum) (gradehub\\.[^ <]+).*\\{$");
-    /** The methods of records are linked in this way too, and stay so: nothing that serves calls them. */
+    /** Excludes the generated methods of records: they use invokedynamic too, but no serving code calls them. */
     private static final Pattern LAMBDA_SITE =
             Pattern.compile(".*invokedynamic.*InvokeDynamic #\\d+:(?!toString:|hashCode:|equals:).*");
 
     private ArchiveCheck() {}
 
-    /** Ends with status 1, and says what is missing, where the archive of the second argument is not whole. */
+    /** Checks the archive against the jar; prints what is missing and exits with status 1 if it is incomplete. */
     public static void main(String jar, String archive) throws IOException, InterruptedException {
         List<String> missing = missing(jar, archive);
         missing.forEach(line -> System.err.println("not in the class archive: " + line));
@@ -47,7 +48,7 @@
 
     private static List<String> missing(String jar, String archive) throws IOException, InterruptedException {
         Map<String, Integer> lambdas = new HashMap<>();
-        List<String> archived = archived(jar, archive);
+        List<String> archived = archivedClasses(jar, archive);
         for (String name : archived) {
             Matcher lambda = LAMBDA_HOST.matcher(name);
             if (lambda.matches()) {
@@ -66,27 +67,27 @@
         return missing;
     }
 
-    /** The names of the classes that a sidecar may need while it serves. */
+    /** Returns the names of the classes that a sidecar may need while it serves requests. */
     static List<String> servingClasses(String jar) throws IOException {
-        return classes(jar, PRODUCT).stream()
+        return classes(jar, PROJECT_CLASS).stream()
                 .filter(name -> !NOT_SERVING.matcher(name).matches())
                 .toList();
     }
 
-    /** The names of all classes of this kind. */
+    /** Returns the names of the classes in the jar that match the pattern. */
     static List<String> classes(String jar, Pattern kind) throws IOException {
         try (JarFile file = new JarFile(jar)) {
             return file.stream()
                     .map(entry -> entry.getName())
-                    .filter(name -> name.endsWith(CLASS_FILE))
-                    .map(name -> name.substring(0, name.length() - CLASS_FILE.length())
+                    .filter(name -> name.endsWith(CLASS_FILE_SUFFIX))
+                    .map(name -> name.substring(0, name.length() - CLASS_FILE_SUFFIX.length())
                             .replace('/', '.'))
                     .filter(name -> kind.matcher(name).matches())
                     .toList();
         }
     }
 
-    /** How many places in each class make a lambda. */
+    /** Returns the number of lambda call sites in each class. */
     private static Map<String, Integer> lambdaSites(String jar, List<String> classes) {
         List<String> arguments = new ArrayList<>(List.of("-p", "-c", "-cp", jar));
         arguments.addAll(classes);
@@ -98,21 +99,21 @@
             throw new IllegalStateException(text.toString());
         }
         Map<String, Integer> sites = new TreeMap<>();
-        String inClass = "";
+        String currentClass = "";
         for (String line : text.toString().lines().toList()) {
-            Matcher begins = DISASSEMBLED_CLASS.matcher(line);
-            if (begins.matches()) {
-                inClass = begins.group(1);
-                sites.put(inClass, 0);
+            Matcher declaration = DISASSEMBLED_CLASS.matcher(line);
+            if (declaration.matches()) {
+                currentClass = declaration.group(1);
+                sites.put(currentClass, 0);
             } else if (LAMBDA_SITE.matcher(line).matches()) {
-                sites.merge(inClass, 1, Integer::sum);
+                sites.merge(currentClass, 1, Integer::sum);
             }
         }
         return sites;
     }
 
-    /** The names of the archive's classes, by the virtual machine's own list. */
-    private static List<String> archived(String jar, String archive) throws IOException, InterruptedException {
+    /** Returns the names of the project's classes in the archive, as listed by the JVM. */
+    private static List<String> archivedClasses(String jar, String archive) throws IOException, InterruptedException {
         Process listing = new ProcessBuilder(
                         "java",
                         "-XX:SharedArchiveFile=" + archive,
@@ -126,7 +127,7 @@
         try (BufferedReader lines =
                 new BufferedReader(new InputStreamReader(listing.getInputStream(), StandardCharsets.UTF_8))) {
             for (String line = lines.readLine(); line != null; line = lines.readLine()) {
-                Matcher entry = ARCHIVED.matcher(line);
+                Matcher entry = ARCHIVED_CLASS.matcher(line);
                 if (entry.matches()) {
                     archived.add(entry.group(1));
                 }
--- a/sidecar/src/main/java/gradehub/node/ArchiveRun.java
+++ b/sidecar/src/main/java/gradehub/node/ArchiveRun.java
@@ -9,17 +9,17 @@
 import java.util.regex.Pattern;
 
 /**
- * The training run of the build: the virtual machine archives the classes that it has loaded and the lambdas that it
- * has linked by its end. What a sidecar needs beyond that is loaded or generated on its event loop, while requests
- * wait: so this run takes sidecars through all their paths, the rare ones too.
+ * The training run that produces the class archive (AppCDS). At its exit the JVM archives the classes that it has
+ * loaded and the lambdas that it has linked. A sidecar loads or generates any other class on its event loop, which
+ * delays requests; therefore this run exercises all paths of a sidecar, including the rare ones.
  */
 public final class ArchiveRun {
 
     private static final int NO_UPSTREAM = -1;
-    /** The network library's channels: which of their inner classes a connection needs is a matter of crossings. */
-    private static final Pattern NETWORK =
+    /** Netty's channel classes: which of their nested classes a connection needs depends on the timing of events. */
+    private static final Pattern NETTY_CHANNEL_CLASS =
             Pattern.compile("io\\.netty\\.channel\\.((nio|socket|socket\\.nio)\\.)?[^.]+");
-    /** What the runtime throws for system calls that fail: which of them do is a matter of the machine. */
+    /** Exceptions that the JDK throws for failed system calls: which calls fail depends on the machine. */
     private static final List<String> SYSTEM_CALL_EXCEPTIONS = List.of(
             "java.net.BindException",
             "java.net.ConnectException",
@@ -38,14 +38,14 @@
             "java.nio.file.AccessDeniedException",
             "java.nio.file.FileSystemException",
             "java.nio.file.NoSuchFileException");
-    /** It takes half a minute; the rest is for a busy builder. */
-    private static final long LONGEST_MINUTES = 5;
+    /** The run takes half a minute; the margin is for a busy build machine. */
+    private static final long TIMEOUT_MINUTES = 5;
 
     private ArchiveRun() {}
 
-    /** Ends the process: as SIGTERM ends a sidecar, or with status 1 where it fails or comes to no end. */
+    /** Runs the training. The process ends by SIGTERM as a sidecar does, or with status 1 on failure or timeout. */
     public static void main() {
-        Thread watchdog = new Thread(ArchiveRun::failWhenOverdue, "watchdog");
+        Thread watchdog = new Thread(ArchiveRun::failAfterTimeout, "watchdog");
         watchdog.setDaemon(true);
         watchdog.start();
         try {
@@ -55,44 +55,44 @@
         }
     }
 
-    private static void failWhenOverdue() {
+    private static void failAfterTimeout() {
         try {
-            TimeUnit.MINUTES.sleep(LONGEST_MINUTES);
-            fail("has not ended after " + LONGEST_MINUTES + " minutes");
+            TimeUnit.MINUTES.sleep(TIMEOUT_MINUTES);
+            fail("timed out after " + TIMEOUT_MINUTES + " minutes");
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    /** The sidecars that are still up would keep the process. */
-    private static void fail(String what) {
-        System.err.println("gradehub: the training run " + what);
+    /** Halts the JVM, because running sidecars would keep the process alive. */
+    private static void fail(String reason) {
+        System.err.println("gradehub: the training run " + reason);
         Runtime.getRuntime().halt(1);
     }
 
     private static void train()
             throws IOException, InterruptedException, ExecutionException, ClassNotFoundException,
                     Config.BadConfigException {
-        loadServingClasses();
+        loadClasses();
         Path folder = Files.createTempDirectory("training");
         long pid = ProcessHandle.current().pid();
-        TrainingSession pushed = new TrainingSession(TrainingSession.Membership.PUSH, folder);
-        Sidecar.main(pushed.environment());
-        pushed.awaitReady();
-        pushed.runTraffic();
-        try (TrainingSession asked = new TrainingSession(TrainingSession.Membership.ASK, folder)) {
-            Sidecar sidecar = Sidecar.start(Config.load(asked.environment()));
-            asked.awaitReady();
-            asked.runTraffic();
-            takeUnusedPaths(sidecar);
+        TrainingSession pushSession = new TrainingSession(TrainingSession.Membership.PUSH, folder);
+        Sidecar.main(pushSession.environment());
+        pushSession.awaitReady();
+        pushSession.runTraffic();
+        try (TrainingSession askSession = new TrainingSession(TrainingSession.Membership.ASK, folder)) {
+            Sidecar sidecar = Sidecar.start(Config.load(askSession.environment()));
+            askSession.awaitReady();
+            askSession.runTraffic();
+            exerciseRemainingPaths(sidecar);
             sidecar.halt();
         }
-        pushed.reload(pid);
+        pushSession.reload(pid);
         TrainingSession.signal(pid, "TERM");
     }
 
-    /** What no peer of the training run can bring about. */
-    private static void takeUnusedPaths(Sidecar sidecar) throws InterruptedException, ExecutionException {
+    /** Calls the engine directly for paths that the peers of the training run cannot trigger. */
+    private static void exerciseRemainingPaths(Sidecar sidecar) throws InterruptedException, ExecutionException {
         Engine engine = sidecar.engine();
         sidecar.loop()
                 .submit(() -> {
@@ -102,24 +102,24 @@
                 .get();
     }
 
-    private static void loadServingClasses() throws IOException, ClassNotFoundException {
+    private static void loadClasses() throws IOException, ClassNotFoundException {
         String jar = System.getProperty("java.class.path");
         for (String name : ArchiveCheck.servingClasses(jar)) {
             Class.forName(name);
         }
-        for (String name : ArchiveCheck.classes(jar, NETWORK)) {
-            load(name);
+        for (String name : ArchiveCheck.classes(jar, NETTY_CHANNEL_CLASS)) {
+            loadIfLinkable(name);
         }
         for (String name : SYSTEM_CALL_EXCEPTIONS) {
-            load(name);
+            loadIfLinkable(name);
         }
     }
 
-    private static void load(String name) throws ClassNotFoundException {
+    private static void loadIfLinkable(String name) throws ClassNotFoundException {
         try {
             Class.forName(name, false, ArchiveRun.class.getClassLoader());
         } catch (NoClassDefFoundError e) {
-            // It needs a library that a sidecar has not.
+            // The class needs an optional library that is not packaged.
         }
     }
 }
--- a/sidecar/src/main/java/gradehub/node/NonResettingLogManager.java
+++ b/sidecar/src/main/java/gradehub/node/NonResettingLogManager.java
@@ -3,26 +3,27 @@
 import java.util.logging.LogManager;
 
 /**
- * The runtime's log manager, without its end at SIGTERM: it would take away all handlers at the signal, and what the
- * sidecar says while it stops would be lost. Named by the system property {@code java.util.logging.manager}.
+ * A log manager whose reset can be disabled. The JDK's log manager has a shutdown hook that removes all handlers, so what
+ * the sidecar logs while it stops after SIGTERM would be lost. Selected by the system property
+ * {@code java.util.logging.manager}.
  */
 public final class NonResettingLogManager extends LogManager {
 
-    private volatile boolean lasting;
+    private volatile boolean resetDisabled;
 
-    /** For the runtime, which makes the one there is. */
+    /** Called by the JDK, which creates the single instance by reflection. */
     public NonResettingLogManager() {}
 
-    /** From now on handlers stay. */
+    /** Keeps the handlers from now on, also at shutdown. */
     static void disableReset() {
         if (LogManager.getLogManager() instanceof NonResettingLogManager manager) {
-            manager.lasting = true;
+            manager.resetDisabled = true;
         }
     }
 
     @Override
     public void reset() {
-        if (!lasting) {
+        if (!resetDisabled) {
             super.reset();
         }
     }
--- a/sidecar/src/main/java/gradehub/node/StandardErrorLog.java
+++ b/sidecar/src/main/java/gradehub/node/StandardErrorLog.java
@@ -19,39 +19,39 @@
 import java.util.logging.SimpleFormatter;
 
 /**
- * The log on standard error. Lines wait in a bounded buffer for a thread of their own, so whoever logs never waits for
- * whoever reads the log. Lines for which there is no room are dropped and counted; the count is logged once the reader
- * is back.
+ * An asynchronous log handler for standard error. Records go through a bounded queue to a writer thread, so a thread
+ * that logs never blocks on a slow reader of standard error. When the queue is full, records are dropped and counted;
+ * the count is logged once the reader has resumed.
  */
 final class StandardErrorLog extends Handler {
 
     private static final String FORMAT_KEY = "java.util.logging.SimpleFormatter.format";
     private static final String FORMAT = "%1$tFT%1$tT.%1$tL %4$s %5$s%6$s%n";
-    private static final int MOST_LINES = 1024;
-    private static final long LOOK_MS = 1;
+    private static final int QUEUE_CAPACITY = 1024;
+    private static final long POLL_INTERVAL_MS = 1;
 
     private final OutputStream out;
     private final Formatter formatter = new SimpleFormatter();
-    private final BlockingQueue<LogRecord> lines;
-    /** Lines that are in the buffer or being written. */
+    private final BlockingQueue<LogRecord> queue;
+    /** Records that are queued or being written. */
     private final AtomicInteger pending = new AtomicInteger();
 
     private final AtomicLong dropped = new AtomicLong();
 
-    StandardErrorLog(OutputStream out, int mostLines) {
+    StandardErrorLog(OutputStream out, int capacity) {
         this.out = out;
-        lines = new ArrayBlockingQueue<>(mostLines);
+        queue = new ArrayBlockingQueue<>(capacity);
         Thread writer = new Thread(this::write, "log");
         writer.setDaemon(true);
         writer.start();
     }
 
-    /** Takes the place of the runtime's console log for all that this process logs. */
+    /** Replaces the JDK's console handler on the root logger. */
     static StandardErrorLog install() {
         if (System.getProperty(FORMAT_KEY) == null) {
             System.setProperty(FORMAT_KEY, FORMAT);
         }
-        StandardErrorLog log = new StandardErrorLog(new FileOutputStream(FileDescriptor.err), MOST_LINES);
+        StandardErrorLog log = new StandardErrorLog(new FileOutputStream(FileDescriptor.err), QUEUE_CAPACITY);
         Logger root = Logger.getLogger("");
         for (Handler handler : root.getHandlers()) {
             if (handler instanceof ConsoleHandler) {
@@ -64,13 +64,13 @@
     }
 
     @Override
-    public void publish(LogRecord line) {
-        if (!isLoggable(line)) {
+    public void publish(LogRecord logRecord) {
+        if (!isLoggable(logRecord)) {
             return;
         }
-        line.setSourceClassName(null); // else the formatter would look for the caller on the writer's own stack
+        logRecord.setSourceClassName(null); // prevents caller inference, which would inspect the writer thread's stack
         pending.incrementAndGet();
-        if (!lines.offer(line)) {
+        if (!queue.offer(logRecord)) {
             pending.decrementAndGet();
             dropped.incrementAndGet();
         }
@@ -79,11 +79,13 @@
     private void write() {
         try {
             while (true) {
-                LogRecord line = lines.take();
-                write(line);
-                long lost = dropped.getAndSet(0);
-                if (lost > 0) {
-                    write(new LogRecord(Level.WARNING, lost + " lines of the log were dropped: nobody read it"));
+                LogRecord logRecord = queue.take();
+                write(logRecord);
+                long droppedCount = dropped.getAndSet(0);
+                if (droppedCount > 0) {
+                    write(new LogRecord(
+                            Level.WARNING,
+                            droppedCount + " log records were dropped because standard error was not read"));
                 }
                 pending.decrementAndGet();
             }
@@ -92,27 +94,27 @@
         }
     }
 
-    private void write(LogRecord line) {
+    private void write(LogRecord logRecord) {
         try {
-            out.write(formatter.format(line).getBytes(StandardCharsets.UTF_8));
+            out.write(formatter.format(logRecord).getBytes(StandardCharsets.UTF_8));
         } catch (IOException | RuntimeException e) {
-            // The line is lost, as on a full disk; there is nowhere to say so.
+            // The write failed, for example on a full disk; there is nowhere left to report it.
         }
     }
 
-    /** Waits until all lines are out, for this long at the most. */
-    void flush(long longestMs) throws InterruptedException {
-        long untilNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(longestMs);
-        while (pending.get() > 0 && System.nanoTime() < untilNanos) {
-            TimeUnit.MILLISECONDS.sleep(LOOK_MS);
+    /** Waits until all records are written, or until the timeout. */
+    void flush(long timeoutMs) throws InterruptedException {
+        long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(timeoutMs);
+        while (pending.get() > 0 && System.nanoTime() < deadlineNanos) {
+            TimeUnit.MILLISECONDS.sleep(POLL_INTERVAL_MS);
         }
     }
 
-    /** Nothing: a line is written as soon as the reader lets it. */
+    /** Does nothing: the writer thread writes each record as soon as possible. */
     @Override
     public void flush() {}
 
-    /** Nothing: the process logs up to its end. */
+    /** Does nothing: the process logs until it exits. */
     @Override
     public void close() {}
 }
--- a/sidecar/src/main/java/gradehub/node/TrainingConnection.java
+++ b/sidecar/src/main/java/gradehub/node/TrainingConnection.java
@@ -9,15 +9,15 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Locale;
 
-/** One blocking HTTP/1.1 connection of a training run, which may send and break off whatever it likes. */
+/** A blocking HTTP/1.1 connection of a training run. It sends arbitrary text and can reset the connection. */
 final class TrainingConnection implements Closeable {
 
-    private static final int PATIENCE_MS = 20_000;
+    private static final int READ_TIMEOUT_MS = 20_000;
 
-    /** The first line, the headers and the body of one message. */
-    record Message(String first, String headers, String body) {
+    /** An HTTP message: its start line, headers and body. */
+    record Message(String firstLine, String headers, String body) {
 
-        /** The value of a header, or null where it is missing. */
+        /** Returns the value of a header, or null if it is absent. */
         String header(String name) {
             for (String line : headers.split("\r\n")) {
                 if (line.toLowerCase(Locale.ROOT).startsWith(name.toLowerCase(Locale.ROOT) + ":")) {
@@ -27,9 +27,9 @@
             return null;
         }
 
-        /** The status, where the message is an answer. */
+        /** Returns the status code; only valid for an answer. */
         int status() {
-            return Integer.parseInt(first.split(" ")[1]);
+            return Integer.parseInt(firstLine.split(" ")[1]);
         }
     }
 
@@ -38,7 +38,7 @@
 
     TrainingConnection(Socket socket) throws IOException {
         this.socket = socket;
-        socket.setSoTimeout(PATIENCE_MS);
+        socket.setSoTimeout(READ_TIMEOUT_MS);
         socket.setTcpNoDelay(true);
         in = new BufferedInputStream(socket.getInputStream());
     }
@@ -48,7 +48,7 @@
         socket.getOutputStream().flush();
     }
 
-    /** The next message, or null where the connection has ended. */
+    /** Reads the next message. Returns null at the end of the stream. */
     Message read() throws IOException {
         ByteArrayOutputStream head = new ByteArrayOutputStream();
         while (!head.toString(StandardCharsets.US_ASCII).endsWith("\r\n\r\n")) {
@@ -59,19 +59,19 @@
             head.write(next);
         }
         String text = head.toString(StandardCharsets.US_ASCII);
-        int firstEnds = text.indexOf("\r\n");
-        Message message = new Message(text.substring(0, firstEnds), text.substring(firstEnds + 2), "");
+        int firstLineEnd = text.indexOf("\r\n");
+        Message message = new Message(text.substring(0, firstLineEnd), text.substring(firstLineEnd + 2), "");
         String length = message.header("Content-Length");
         byte[] body = in.readNBytes(length == null ? 0 : Integer.parseInt(length));
-        return new Message(message.first(), message.headers(), new String(body, StandardCharsets.US_ASCII));
+        return new Message(message.firstLine(), message.headers(), new String(body, StandardCharsets.US_ASCII));
     }
 
-    /** Ends the sending half alone. */
+    /** Closes the sending direction only. */
     void endOutput() throws IOException {
         socket.shutdownOutput();
     }
 
-    /** Breaks the connection at once. */
+    /** Closes the connection with a TCP reset. */
     void reset() throws IOException {
         socket.setSoLinger(true, 0);
         socket.close();
--- a/sidecar/src/main/java/gradehub/node/TrainingPeers.java
+++ b/sidecar/src/main/java/gradehub/node/TrainingPeers.java
@@ -16,12 +16,12 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The servers that a training run plays to a sidecar on loopback: healthy, unreachable and slow upstreams, and two
- * discovery services. The first discovery service goes through {@link WatchStep}; the second one is always healthy.
+ * The servers of a training run on loopback: healthy, faulty, slow and unreachable upstreams, and two discovery
+ * services. The first discovery service goes through the steps of {@link WatchStep}; the second is always healthy.
  */
 final class TrainingPeers implements Closeable {
 
-    /** What an upstream does with a request; the request names it in the second part of its path. */
+    /** How an upstream responds to a request; the request names the reaction in the second segment of its path. */
     enum Reaction {
         SERVE,
         SERVE_CHUNKED,
@@ -45,7 +45,7 @@
         NO_COLON
     }
 
-    /** What the first discovery service does with its watches, one after the other; the last one is repeated. */
+    /** How the first discovery service handles successive watch requests; the last step is repeated. */
     enum WatchStep {
         LIST_THEN_CHANGES,
         UNAVAILABLE,
@@ -60,37 +60,37 @@
 
     private static final int UPSTREAMS = 4;
     private static final int TOO_LONG_BYTES = 1 << 17;
-    private static final long LATE_MS = 300;
-    private static final long BLANK_LINE_MS = 200;
+    private static final long LATE_ANSWER_DELAY_MS = 300;
+    private static final long BLANK_LINE_INTERVAL_MS = 200;
     private static final String NO_BODY = "Content-Length: 0\r\n\r\n";
     private static final String CHUNKED = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-    private final List<Closeable> open = new ArrayList<>();
+    private final List<Closeable> openSockets = new ArrayList<>();
     private final List<String> upstreams = new ArrayList<>();
     private final String unreachable;
     private final String overfull;
     private final ServerSocket firstDiscovery;
     private final ServerSocket secondDiscovery;
-    private final Set<String> seen = ConcurrentHashMap.newKeySet();
-    private final Map<WatchStep, CountDownLatch> reached = new EnumMap<>(WatchStep.class);
-    private final CountDownLatch moved = new CountDownLatch(1);
-    private int watches;
+    private final Set<String> seenIds = ConcurrentHashMap.newKeySet();
+    private final Map<WatchStep, CountDownLatch> stepReached = new EnumMap<>(WatchStep.class);
+    private final CountDownLatch switched = new CountDownLatch(1);
+    private int watchCount;
 
     TrainingPeers() throws IOException {
         for (WatchStep step : WatchStep.values()) {
-            reached.put(step, new CountDownLatch(1));
+            stepReached.put(step, new CountDownLatch(1));
         }
         for (int i = 0; i < UPSTREAMS; i++) {
             ServerSocket upstream = listener();
             upstreams.add(address(upstream));
-            accept(upstream, this::serve);
+            accept(upstream, this::serveUpstream);
         }
         unreachable = unreachable();
         overfull = overfull();
         firstDiscovery = listener();
-        accept(firstDiscovery, this::answerList);
+        accept(firstDiscovery, this::serveFirstDiscovery);
         secondDiscovery = listener();
-        accept(secondDiscovery, this::answerSteadily);
+        accept(secondDiscovery, this::serveSecondDiscovery);
     }
 
     String firstDiscovery() {
@@ -101,25 +101,25 @@
         return address(secondDiscovery);
     }
 
-    /** Waits until the first discovery service has gone through its steps. */
+    /** Waits until the first discovery service has reached its last step. */
     void awaitSteadyWatch() throws InterruptedException {
-        reached.get(WatchStep.STEADY).await();
+        stepReached.get(WatchStep.STEADY).await();
     }
 
-    /** Waits until the sidecar asks the second discovery service; returns false where it does not. */
-    boolean awaitDiscoverySwitch(long longestMs) throws InterruptedException {
-        return moved.await(longestMs, TimeUnit.MILLISECONDS);
+    /** Waits until the sidecar connects to the second discovery service. Returns false on timeout. */
+    boolean awaitDiscoverySwitch(long timeoutMs) throws InterruptedException {
+        return switched.await(timeoutMs, TimeUnit.MILLISECONDS);
     }
 
     // ---- Sockets.
 
-    private interface Conversation {
-        void hold(TrainingConnection wire) throws IOException, InterruptedException;
+    private interface ConnectionHandler {
+        void handle(TrainingConnection connection) throws IOException, InterruptedException;
     }
 
     private ServerSocket listener() throws IOException {
         ServerSocket listener = new ServerSocket(0, 200, InetAddress.getLoopbackAddress());
-        open.add(listener);
+        openSockets.add(listener);
         return listener;
     }
 
@@ -127,46 +127,46 @@
         return listener.getInetAddress().getHostAddress() + ":" + listener.getLocalPort();
     }
 
-    /** An address that refuses connections. */
+    /** Returns an address that refuses connections. */
     private static String unreachable() throws IOException {
         try (ServerSocket closed = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             return address(closed);
         }
     }
 
-    /** An address at which connections do not come up: its backlog is full. */
+    /** Returns an address at which connection attempts time out, because its accept backlog is full. */
     private String overfull() throws IOException {
         ServerSocket listener = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
-        open.add(listener);
-        for (int i = 0; i < 2; i++) { // a backlog of one has room for two
-            open.add(new Socket(listener.getInetAddress(), listener.getLocalPort()));
+        openSockets.add(listener);
+        for (int i = 0; i < 2; i++) { // Linux queues backlog + 1 = 2 connections
+            openSockets.add(new Socket(listener.getInetAddress(), listener.getLocalPort()));
         }
         return address(listener);
     }
 
-    private void accept(ServerSocket listener, Conversation conversation) {
+    private void accept(ServerSocket listener, ConnectionHandler handler) {
         startDaemon(() -> {
             while (true) {
-                TrainingConnection wire = new TrainingConnection(listener.accept());
+                TrainingConnection connection = new TrainingConnection(listener.accept());
                 startDaemon(() -> {
-                    try (wire) {
-                        conversation.hold(wire);
+                    try (connection) {
+                        handler.handle(connection);
                     }
                 });
             }
         });
     }
 
-    private interface Work {
+    private interface Task {
         void run() throws IOException, InterruptedException;
     }
 
-    private static void startDaemon(Work work) {
+    private static void startDaemon(Task task) {
         Thread thread = new Thread(() -> {
             try {
-                work.run();
+                task.run();
             } catch (IOException | UncheckedIOException e) {
-                // The other side has gone, or the training run is over.
+                // The peer closed the connection, or the training run has ended.
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
@@ -177,124 +177,128 @@
 
     @Override
     public void close() throws IOException {
-        for (Closeable closeable : open) {
+        for (Closeable closeable : openSockets) {
             closeable.close();
         }
     }
 
     // ---- Upstreams.
 
-    private void serve(TrainingConnection wire) throws IOException, InterruptedException {
-        for (TrainingConnection.Message request = wire.read(); request != null; request = wire.read()) {
-            String path = request.first().split(" ")[1];
-            react(Reaction.valueOf(path.split("/")[2]), request.header("X-Txn"), wire);
+    private void serveUpstream(TrainingConnection connection) throws IOException, InterruptedException {
+        for (TrainingConnection.Message request = connection.read(); request != null; request = connection.read()) {
+            String path = request.firstLine().split(" ")[1];
+            respond(Reaction.valueOf(path.split("/")[2]), request.header("X-Txn"), connection);
         }
     }
 
-    private void react(Reaction reaction, String id, TrainingConnection wire) throws IOException, InterruptedException {
+    private void respond(Reaction reaction, String id, TrainingConnection connection)
+            throws IOException, InterruptedException {
         switch (reaction) {
-            case SERVE -> wire.send(served("X-Pressure: rps=1,cpu=0.5\r\nContent-Type: text/plain\r\n"));
-            case SERVE_CHUNKED -> wire.send(CHUNKED + "3\r\nabc\r\n0\r\n\r\n");
+            case SERVE -> connection.send(okAnswer("X-Pressure: rps=1,cpu=0.5\r\nContent-Type: text/plain\r\n"));
+            case SERVE_CHUNKED -> connection.send(CHUNKED + "3\r\nabc\r\n0\r\n\r\n");
             case SERVE_UNTIL_CLOSE -> {
-                wire.send("HTTP/1.1 200 OK\r\n\r\nabc");
-                wire.close();
+                connection.send("HTTP/1.1 200 OK\r\n\r\nabc");
+                connection.close();
             }
-            case SERVE_AFTER_INTERIM -> wire.send("HTTP/1.1 100 Continue\r\n\r\n" + served("X-Pressure: cpu=x\r\n"));
+            case SERVE_AFTER_INTERIM ->
+                connection.send("HTTP/1.1 100 Continue\r\n\r\n" + okAnswer("X-Pressure: cpu=x\r\n"));
             case SERVE_AND_CLOSE -> {
-                wire.send(served("Connection: close\r\n"));
-                wire.close();
+                connection.send(okAnswer("Connection: close\r\n"));
+                connection.close();
             }
-            case SERVE_LATE -> sendLate(wire, served(""));
-            case SERVE_AND_MORE -> wire.send(served("") + served(""));
-            case ERROR -> wire.send("HTTP/1.1 500 Internal Server Error\r\n" + NO_BODY);
-            case TURN_AWAY -> wire.send("HTTP/1.1 503 Service Unavailable\r\nX-Turned-Away: 1\r\n" + NO_BODY);
-            case TURN_AWAY_LATE -> sendLate(wire, "HTTP/1.1 504 Gateway Timeout\r\nX-Turned-Away: 1\r\n" + NO_BODY);
-            case NOT_FOUND -> wire.send("HTTP/1.1 404 Not Found\r\n" + NO_BODY);
-            case RESET -> wire.reset();
-            case CLOSE -> wire.close();
+            case SERVE_LATE -> sendLate(connection, okAnswer(""));
+            case SERVE_AND_MORE -> connection.send(okAnswer("") + okAnswer(""));
+            case ERROR -> connection.send("HTTP/1.1 500 Internal Server Error\r\n" + NO_BODY);
+            case TURN_AWAY -> connection.send("HTTP/1.1 503 Service Unavailable\r\nX-Turned-Away: 1\r\n" + NO_BODY);
+            case TURN_AWAY_LATE ->
+                sendLate(connection, "HTTP/1.1 504 Gateway Timeout\r\nX-Turned-Away: 1\r\n" + NO_BODY);
+            case NOT_FOUND -> connection.send("HTTP/1.1 404 Not Found\r\n" + NO_BODY);
+            case RESET -> connection.reset();
+            case CLOSE -> connection.close();
             case SILENT_AT_FIRST -> {
-                if (!seen.add(id)) {
-                    wire.send(served(""));
+                if (!seenIds.add(id)) {
+                    connection.send(okAnswer(""));
                 }
             }
             case SILENT -> {}
-            case HALF_ANSWER -> wire.send("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nabc");
-            case HALF_HEAD -> wire.send("HTTP/1.1 200 OK\r\nConte");
+            case HALF_ANSWER -> connection.send("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nabc");
+            case HALF_HEAD -> connection.send("HTTP/1.1 200 OK\r\nConte");
             case TOO_LONG ->
-                wire.send("HTTP/1.1 200 OK\r\nContent-Length: " + TOO_LONG_BYTES + "\r\n\r\n"
+                connection.send("HTTP/1.1 200 OK\r\nContent-Length: " + TOO_LONG_BYTES + "\r\n\r\n"
                         + "b".repeat(TOO_LONG_BYTES));
-            case NO_HTTP -> wire.send("what is this?\r\n\r\n");
-            case NO_COLON -> wire.send("HTTP/1.1 200 OK\r\nno colon\r\nContent-Length: 3\r\n\r\nabc");
+            case NO_HTTP -> connection.send("what is this?\r\n\r\n");
+            case NO_COLON -> connection.send("HTTP/1.1 200 OK\r\nno colon\r\nContent-Length: 3\r\n\r\nabc");
             default -> throw new IllegalStateException(reaction.name());
         }
     }
 
-    private static void sendLate(TrainingConnection wire, String answer) throws IOException, InterruptedException {
-        Thread.sleep(LATE_MS);
-        wire.send(answer);
+    private static void sendLate(TrainingConnection connection, String answer)
+            throws IOException, InterruptedException {
+        Thread.sleep(LATE_ANSWER_DELAY_MS);
+        connection.send(answer);
     }
 
-    private static String served(String headers) {
+    private static String okAnswer(String headers) {
         return "HTTP/1.1 200 OK\r\n" + headers + "Content-Length: 3\r\n\r\nabc";
     }
 
     // ---- Discovery.
 
-    private void answerSteadily(TrainingConnection wire) throws IOException, InterruptedException {
-        wire.read();
-        moved.countDown();
-        watch(wire);
+    private void serveSecondDiscovery(TrainingConnection connection) throws IOException, InterruptedException {
+        connection.read();
+        switched.countDown();
+        sendListAndBlankLines(connection);
     }
 
-    private void answerList(TrainingConnection wire) throws IOException, InterruptedException {
-        TrainingConnection.Message request = wire.read();
+    private void serveFirstDiscovery(TrainingConnection connection) throws IOException, InterruptedException {
+        TrainingConnection.Message request = connection.read();
         if (request == null) {
             return;
         }
-        if (!request.first().contains("watch")) {
-            wire.send(withLength(fullList(2)));
+        if (!request.firstLine().contains("watch")) {
+            connection.send(withLength(fullList(2)));
             return;
         }
         WatchStep step = nextStep();
-        play(step, wire);
-        reached.get(step).countDown();
+        performStep(step, connection);
+        stepReached.get(step).countDown();
         if (step == WatchStep.STEADY) {
-            watch(wire);
+            sendListAndBlankLines(connection);
         }
     }
 
     private synchronized WatchStep nextStep() {
         WatchStep[] steps = WatchStep.values();
-        return steps[Math.min(watches++, steps.length - 1)];
+        return steps[Math.min(watchCount++, steps.length - 1)];
     }
 
-    private void play(WatchStep step, TrainingConnection wire) throws IOException, InterruptedException {
+    private void performStep(WatchStep step, TrainingConnection connection) throws IOException, InterruptedException {
         switch (step) {
-            case LIST_THEN_CHANGES -> changes(wire);
-            case UNAVAILABLE -> wire.send("HTTP/1.1 503 Service Unavailable\r\n" + NO_BODY);
-            case RESET -> wire.reset();
-            case NO_LIST -> wire.send(CHUNKED + chunk("[1, 2]\n"));
-            case HALF_LIST -> wire.send(CHUNKED + chunk("{\"revision\":\n\n") + "0\r\n\r\n");
-            case NO_MEMBERS -> wire.send(CHUNKED + chunk("{\"revision\":\"x\"}\n"));
-            case WHOLE_LIST -> wire.send(withLength(fullList(9)));
-            case SILENT -> wire.read();
+            case LIST_THEN_CHANGES -> sendChanges(connection);
+            case UNAVAILABLE -> connection.send("HTTP/1.1 503 Service Unavailable\r\n" + NO_BODY);
+            case RESET -> connection.reset();
+            case NO_LIST -> connection.send(CHUNKED + chunk("[1, 2]\n"));
+            case HALF_LIST -> connection.send(CHUNKED + chunk("{\"revision\":\n\n") + "0\r\n\r\n");
+            case NO_MEMBERS -> connection.send(CHUNKED + chunk("{\"revision\":\"x\"}\n"));
+            case WHOLE_LIST -> connection.send(withLength(fullList(9)));
+            case SILENT -> connection.read();
             case STEADY -> {}
             default -> throw new IllegalStateException(step.name());
         }
     }
 
-    /** Until the other side closes. */
-    private void watch(TrainingConnection wire) throws IOException, InterruptedException {
-        wire.send(CHUNKED + chunk(fullList(10)));
+    /** Sends the list and then blank lines until the peer closes the connection. */
+    private void sendListAndBlankLines(TrainingConnection connection) throws IOException, InterruptedException {
+        connection.send(CHUNKED + chunk(fullList(10)));
         while (true) {
-            Thread.sleep(BLANK_LINE_MS);
-            wire.send(chunk("\n"));
+            Thread.sleep(BLANK_LINE_INTERVAL_MS);
+            connection.send(chunk("\n"));
         }
     }
 
-    private void changes(TrainingConnection wire) throws IOException, InterruptedException {
+    private void sendChanges(TrainingConnection connection) throws IOException, InterruptedException {
         String last = upstreams.get(UPSTREAMS - 1);
-        wire.send(CHUNKED + chunk(fullList(2).replace(",", ",\n  ")));
+        connection.send(CHUNKED + chunk(fullList(2).replace(",", ",\n  ")));
         List<String> changes = List.of(
                 member("u3", last, "leaving", 0),
                 member("u3", last, "left", 0),
@@ -304,11 +308,11 @@
                 member("u3", last, "active", 0));
         int revision = 3;
         for (String change : changes) {
-            wire.send(chunk("\n"));
-            Thread.sleep(BLANK_LINE_MS);
-            wire.send(chunk(list(revision++, false, List.of(change))));
+            connection.send(chunk("\n"));
+            Thread.sleep(BLANK_LINE_INTERVAL_MS);
+            connection.send(chunk(list(revision++, false, List.of(change))));
         }
-        wire.send("0\r\n\r\n");
+        connection.send("0\r\n\r\n");
     }
 
     private String fullList(int revision) {
--- a/sidecar/src/main/java/gradehub/node/TrainingSession.java
+++ b/sidecar/src/main/java/gradehub/node/TrainingSession.java
@@ -19,12 +19,12 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Takes one sidecar through all its paths on loopback, the troubled ones first of all: its peers, its environment and
- * its clients. The sidecar itself is started by whoever holds the session.
+ * Exercises all paths of one sidecar on loopback, error paths in particular: provides its upstreams, discovery services,
+ * environment and clients. The caller starts the sidecar.
  */
 final class TrainingSession implements Closeable {
 
-    /** How a sidecar comes by the list of upstreams. */
+    /** How the sidecar receives the list of upstreams. */
     enum Membership {
         PUSH,
         ASK
@@ -47,25 +47,25 @@
               "contract":{"coldFrom":0.12,"coldMs":2000.0,"overloadFactor":4,"fallMs":2000.0,"answerSlackMs":20.0},
               "report":{"via":"inline","fields":["rps","cpu"]}}}
             """;
-    private static final long LOOK_MS = 20;
-    private static final long READY_MS = 60_000;
+    private static final long POLL_INTERVAL_MS = 20;
+    private static final long TIMEOUT_MS = 60_000;
 
     private final TrainingPeers peers = new TrainingPeers();
     private final Membership membership;
     private final Path config;
     private final InetSocketAddress listen;
 
-    /** One whose files are in this folder. */
+    /** Creates a session that keeps its configuration file in the given folder. */
     TrainingSession(Membership membership, Path folder) throws IOException {
         this.membership = membership;
         config = folder.resolve("config-" + membership + ".json");
-        try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            listen = (InetSocketAddress) free.getLocalSocketAddress();
+        try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+            listen = (InetSocketAddress) socket.getLocalSocketAddress();
         }
         writeConfig(peers.firstDiscovery());
     }
 
-    /** What the platform tells the sidecar. */
+    /** Returns the environment variables that the platform sets for the sidecar. */
     Map<String, String> environment() {
         Map<String, String> environment = new HashMap<>();
         environment.put("BALANCER_NAME", "n1");
@@ -84,28 +84,29 @@
                 config, CONFIG.formatted(address(), discovery, membership.name().toLowerCase(Locale.ROOT)));
     }
 
-    /** Waits until the sidecar says that it is ready. */
+    /** Waits until the sidecar reports readiness. */
     void awaitReady() throws IOException, InterruptedException {
-        long untilNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(READY_MS);
+        long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(TIMEOUT_MS);
         while (!isReady()) {
-            if (System.nanoTime() > untilNanos) {
-                throw new IOException("the sidecar did not become ready");
+            if (System.nanoTime() > deadlineNanos) {
+                throw new IOException("sidecar did not become ready in time");
             }
-            Thread.sleep(LOOK_MS);
+            Thread.sleep(POLL_INTERVAL_MS);
         }
     }
 
     private boolean isReady() {
-        try (TrainingConnection wire = new TrainingConnection(new Socket(listen.getAddress(), listen.getPort()))) {
-            wire.send("GET /ready HTTP/1.1\r\n\r\n");
-            TrainingConnection.Message answer = wire.read();
+        try (TrainingConnection connection =
+                new TrainingConnection(new Socket(listen.getAddress(), listen.getPort()))) {
+            connection.send("GET /ready HTTP/1.1\r\n\r\n");
+            TrainingConnection.Message answer = connection.read();
             return answer != null && answer.status() == 200;
         } catch (IOException e) {
-            return false; // it does not listen yet
+            return false; // not listening yet
         }
     }
 
-    /** Clients and discovery make trouble, and traffic goes on; returns the statuses of all answers. */
+    /** Runs the clients during and after the faults of discovery. Returns the statuses of all answers. */
     Set<Integer> runTraffic() throws IOException, InterruptedException, ExecutionException {
         Set<Integer> statuses = new TrainingTraffic(listen).runTraffic();
         peers.awaitSteadyWatch();
@@ -114,38 +115,38 @@
     }
 
     /**
-     * Sends the process that runs the sidecar a configuration of no use, and when it has read that, one with another
-     * discovery. The files are named pipes, which hold the writer until the sidecar reads.
+     * Makes the process of the sidecar reload an invalid configuration and then one with the second discovery service.
+     * The configuration file is replaced by named pipes, which block the writer until the sidecar reads.
      */
     void reload(long pid) throws IOException, InterruptedException {
-        placePipe();
+        replaceConfigWithPipe();
         signal(pid, "HUP");
-        try (OutputStream useless = Files.newOutputStream(config)) {
-            placePipe(); // for the next read, before this one comes to its end
-            useless.write("no configuration".getBytes(StandardCharsets.US_ASCII));
+        try (OutputStream invalidConfig = Files.newOutputStream(config)) {
+            replaceConfigWithPipe(); // for the next read; must exist before the current read ends
+            invalidConfig.write("no configuration".getBytes(StandardCharsets.US_ASCII));
         }
         writeConfig(peers.secondDiscovery());
-        if (!peers.awaitDiscoverySwitch(READY_MS)) {
-            throw new IOException("the sidecar did not move to the other discovery");
+        if (!peers.awaitDiscoverySwitch(TIMEOUT_MS)) {
+            throw new IOException("sidecar did not switch to the second discovery service");
         }
     }
 
-    /** Puts a named pipe in the place of the configuration. */
-    private void placePipe() throws IOException, InterruptedException {
+    /** Replaces the configuration file with a named pipe. */
+    private void replaceConfigWithPipe() throws IOException, InterruptedException {
         Path pipe = config.resolveSibling("pipe");
-        run("mkfifo " + pipe);
+        runCommand("mkfifo " + pipe);
         Files.move(pipe, config, StandardCopyOption.REPLACE_EXISTING);
     }
 
-    /** Sends a process a signal of this name. */
+    /** Sends the named signal to a process. */
     static void signal(long pid, String name) throws IOException, InterruptedException {
-        run("kill -" + name + " " + pid);
+        runCommand("kill -" + name + " " + pid);
     }
 
-    private static void run(String command) throws IOException, InterruptedException {
+    private static void runCommand(String command) throws IOException, InterruptedException {
         int status = new ProcessBuilder("/bin/sh", "-c", command).start().waitFor();
         if (status != 0) {
-            throw new IOException(command + " ended with status " + status);
+            throw new IOException(command + " exited with status " + status);
         }
     }
 
--- a/sidecar/src/main/java/gradehub/node/Warmup.java
+++ b/sidecar/src/main/java/gradehub/node/Warmup.java
@@ -15,23 +15,23 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Serves some requests on loopback and ends. A sidecar does so before it listens, on its part of a core: the code that
- * serves is compiled by then, and the first clients need not wait for that.
+ * Warms up the JVM: runs a temporary sidecar on loopback and sends requests through it. The process does this before it
+ * listens, so that on its fraction of a core the request path is JIT-compiled before real clients connect.
  */
 final class Warmup {
 
     private static final System.Logger LOG = System.getLogger("gradehub");
     static final int REQUESTS = 1200;
-    private static final int ON_EACH = 20; // connection
-    /** The platform's time from the start of a process until it has to be ready. */
-    private static final double READY_MS = 10_000;
+    private static final int REQUESTS_PER_CONNECTION = 20;
+    /** The platform's limit on the time from process start to readiness. */
+    private static final double READINESS_LIMIT_MS = 10_000;
     /**
-     * The part of it that is over when a rehearsal ends: the rest is for the list and the listener, which take more
-     * than a second on a fifth of a core. It is a help, and not worth a late start. But a part of a core takes seconds
-     * for all of it, and what is not compiled by then is compiled while clients wait, at less than half the rate that
-     * they ask at.
+     * The fraction of the readiness limit after which the warm-up must have ended. The remainder is for loading the
+     * list and binding the listener, which take more than a second on a fifth of a core; the warm-up must not delay
+     * readiness. On a fraction of a core the whole warm-up takes seconds, and code that is not compiled by its end is
+     * compiled while clients wait, at less than half of their request rate.
      */
-    private static final double REHEARSED_PART = 0.7;
+    private static final double BUDGET_FRACTION = 0.7;
 
     private static final String CONFIG = """
             {"listen":"127.0.0.1:0","discovery":"%1$s","seed":"1","limits":{"sockets":1024},
@@ -44,98 +44,105 @@
 
     private Warmup() {}
 
-    /** Whatever goes wrong in it must not keep a sidecar from starting, and its slowness no more than is allowed. */
+    /** Runs the warm-up within its time budget. A failure is logged and does not prevent the sidecar from starting. */
     static void run() throws InterruptedException {
         try {
-            LOG.log(System.Logger.Level.INFO, "rehearsing with an upstream of its own");
-            warmUp(0, endNanos(budgetMs(ManagementFactory.getRuntimeMXBean().getUptime())));
+            LOG.log(System.Logger.Level.INFO, "warming up with a loopback upstream");
+            warmUp(
+                    0,
+                    deadlineNanos(budgetMs(ManagementFactory.getRuntimeMXBean().getUptime())));
         } catch (IOException | RuntimeException | Config.BadConfigException e) {
-            LOG.log(System.Logger.Level.WARNING, "the rehearsal failed", e);
+            LOG.log(System.Logger.Level.WARNING, "warm-up failed", e);
         }
     }
 
-    /** How long a rehearsal may take in a process that has run for this long: the virtual machine's start counts. */
+    /** Returns the time left for the warm-up, given the uptime of the process, which includes the start of the JVM. */
     static double budgetMs(double uptimeMs) {
-        return Math.max(0, REHEARSED_PART * READY_MS - uptimeMs);
+        return Math.max(0, BUDGET_FRACTION * READINESS_LIMIT_MS - uptimeMs);
     }
 
-    private static long endNanos(double longestMs) {
-        return System.nanoTime() + (long) (longestMs * 1e6);
+    private static long deadlineNanos(double budgetMs) {
+        return System.nanoTime() + (long) (budgetMs * 1e6);
     }
 
     /**
-     * With an upstream that takes this long for each answer, up to this time of {@link System#nanoTime}, whatever takes
-     * it up: the sidecar's own start is a good part of it. Returns how many requests have been answered; one that is
-     * under way at the end is not waited for.
+     * Sends requests through a temporary sidecar until the deadline, including the start of that sidecar, which takes a
+     * large part of the time. A request that is in flight at the deadline is abandoned.
+     *
+     * @param upstreamMs the delay of each answer of the upstream
+     * @param deadlineNanos the deadline as a value of {@link System#nanoTime}
+     * @return the number of answered requests
      */
-    static int warmUp(long upstreamMs, long endNanos)
+    static int warmUp(long upstreamMs, long deadlineNanos)
             throws IOException, InterruptedException, Config.BadConfigException {
-        try (ServerSocket others = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
-            Thread accepting = new Thread(() -> accept(others, upstreamMs));
-            accepting.setDaemon(true);
-            accepting.start();
-            String address = others.getInetAddress().getHostAddress() + ":" + others.getLocalPort();
+        try (ServerSocket listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
+            Thread acceptor = new Thread(() -> accept(listener, upstreamMs));
+            acceptor.setDaemon(true);
+            acceptor.start();
+            String address = listener.getInetAddress().getHostAddress() + ":" + listener.getLocalPort();
             Sidecar sidecar = Sidecar.start(Config.of(Config.JSON.readTree(CONFIG.formatted(address))));
-            int answered = ask((InetSocketAddress) sidecar.address(), endNanos);
+            int answered = sendRequests((InetSocketAddress) sidecar.address(), deadlineNanos);
             sidecar.halt();
             return answered;
         }
     }
 
-    private static int ask(InetSocketAddress address, long endNanos) throws IOException {
+    private static int sendRequests(InetSocketAddress address, long deadlineNanos) throws IOException {
         String read = "GET /read HTTP/1.1\r\nX-Txn: %016x\r\nX-Lane: read\r\nX-Remaining-Ms: 3000\r\n\r\n";
         String write = "POST /write HTTP/1.1\r\nX-Txn: %016x\r\nX-Lane: write\r\nX-Remaining-Ms: 3000\r\n"
                 + "Content-Length: 4\r\n\r\nbody";
-        String unheardOf = "GET /unheard-of HTTP/1.1\r\nX-Txn: %016x\r\n\r\n";
-        List<String> requests = List.of(read, write, read, unheardOf);
+        String unknownClass = "GET /unheard-of HTTP/1.1\r\nX-Txn: %016x\r\n\r\n";
+        List<String> requests = List.of(read, write, read, unknownClass);
         int answered = 0;
-        while (answered < REQUESTS && leftMs(endNanos) > 0) {
+        while (answered < REQUESTS && remainingMs(deadlineNanos) > 0) {
             try (Socket socket = new Socket(address.getAddress(), address.getPort())) {
                 BufferedReader in = reader(socket);
-                for (int last = answered + ON_EACH; answered < last && leftMs(endNanos) > 0; answered++) {
-                    socket.setSoTimeout(Math.max(1, leftMs(endNanos))); // 0 would be without end
+                for (int last = answered + REQUESTS_PER_CONNECTION;
+                        answered < last && remainingMs(deadlineNanos) > 0;
+                        answered++) {
+                    socket.setSoTimeout(Math.max(1, remainingMs(deadlineNanos))); // 0 would mean no timeout
                     write(socket, requests.get(answered % requests.size()).formatted(answered));
                     readHead(in);
                 }
             } catch (SocketTimeoutException e) {
-                LOG.log(System.Logger.Level.INFO, "no time left to rehearse after " + answered + " requests");
+                LOG.log(System.Logger.Level.INFO, "warm-up reached its deadline after " + answered + " requests");
             }
         }
         return answered;
     }
 
-    private static int leftMs(long endNanos) {
-        return (int) TimeUnit.NANOSECONDS.toMillis(Math.max(0, endNanos - System.nanoTime()));
+    private static int remainingMs(long deadlineNanos) {
+        return (int) TimeUnit.NANOSECONDS.toMillis(Math.max(0, deadlineNanos - System.nanoTime()));
     }
 
-    /** Plays the upstream and discovery, by what is asked for. */
-    private static void accept(ServerSocket others, long upstreamMs) {
+    /** Serves as both the upstream and discovery, depending on the path of the request. */
+    private static void accept(ServerSocket listener, long upstreamMs) {
         try {
             while (true) {
-                Socket socket = others.accept();
-                Thread serving = new Thread(() -> serve(socket, upstreamMs));
-                serving.setDaemon(true);
-                serving.start();
+                Socket socket = listener.accept();
+                Thread handler = new Thread(() -> serve(socket, upstreamMs));
+                handler.setDaemon(true);
+                handler.start();
             }
         } catch (IOException e) {
-            // The rehearsal is over.
+            // The warm-up has ended and closed the listener.
         }
     }
 
     private static void serve(Socket socket, long upstreamMs) {
         try (socket;
                 BufferedReader in = reader(socket)) {
-            for (String first = readHead(in); first != null; first = readHead(in)) {
+            for (String firstLine = readHead(in); firstLine != null; firstLine = readHead(in)) {
                 Thread.sleep(upstreamMs);
                 write(
                         socket,
-                        first.contains("watch")
+                        firstLine.contains("watch")
                                 ? "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
                                         + Integer.toHexString(LIST.length()) + "\r\n" + LIST + "\r\n"
                                 : "HTTP/1.1 200 OK\r\nX-Pressure: cpu=0.5\r\nContent-Length: 0\r\n\r\n");
             }
         } catch (IOException e) {
-            // The sidecar has ended.
+            // The sidecar closed the connection.
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
@@ -151,12 +158,12 @@
         out.flush();
     }
 
-    /** Reads up to the empty line; the first line, or null where the connection has ended. */
+    /** Reads up to the empty line. Returns the first line, or null at the end of the stream. */
     private static String readHead(BufferedReader in) throws IOException {
-        String first = in.readLine();
-        for (String line = first; line != null && !line.isEmpty(); ) {
+        String firstLine = in.readLine();
+        for (String line = firstLine; line != null && !line.isEmpty(); ) {
             line = in.readLine();
         }
-        return first;
+        return firstLine;
     }
 }
--- a/sidecar/src/test/java/gradehub/node/LargeListTest.java
+++ b/sidecar/src/test/java/gradehub/node/LargeListTest.java
@@ -5,22 +5,22 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** A fleet as large as any that is to be expected. */
+/** A list of upstreams as large as the largest expected fleet. */
 class LargeListTest {
 
     private static final int UPSTREAMS = 1024;
 
-    private static String[] members(String phase, ServerSocket at) {
+    private static String[] members(String phase, ServerSocket listener) {
         List<String> members = new ArrayList<>();
         for (int i = 1; i <= UPSTREAMS; i++) {
-            members.add(Rig.member("u" + i, Rig.address(at), phase));
+            members.add(Rig.member("u" + i, Rig.address(listener), phase));
         }
         return members.toArray(new String[0]);
     }
 
-    /** They come as a whole list, change all at once, move, and come again, for a sidecar among as many others. */
+    /** The full list arrives, all members leave at once, and the list returns at another address; 1024 sidecars share it. */
     @Test
-    void aThousandUpstreamsAreReadChangedAndServed() throws Exception {
+    void thousandUpstreamsAreAddedRemovedAndReplaced() throws Exception {
         try (Rig rig = new Rig()) {
             ServerSocket first = rig.listener();
             ServerSocket second = rig.listener();
--- a/sidecar/src/test/java/gradehub/node/ServedClassesIT.java
+++ b/sidecar/src/test/java/gradehub/node/ServedClassesIT.java
@@ -17,24 +17,24 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * The packaged sidecar, started as the deploy file says, with its clients, upstreams and discovery in trouble. What it
- * loads from the jar or generates while it serves stands in the way of requests on its event loop.
+ * Runs the packaged sidecar, started as in the deploy file, with faulty clients, upstreams and discovery. A class that it
+ * loads from the jar or generates while it serves delays requests on its event loop.
  */
 class ServedClassesIT {
 
-    private static final Pattern LOADED = Pattern.compile("^(\\S+) source: (.*)$");
-    private static final String ARCHIVED = "shared objects file";
-    /** The kinds of answers that show that the troubled paths were taken. */
-    private static final Set<Integer> STATUSES = Set.of(200, 400, 404, 405, 408, 409, 413, 417, 431, 502, 503);
+    private static final Pattern LOADED_CLASS = Pattern.compile("^(\\S+) source: (.*)$");
+    private static final String ARCHIVE_SOURCE = "shared objects file";
+    /** Statuses that show that the error paths were taken. */
+    private static final Set<Integer> EXPECTED_STATUSES = Set.of(200, 400, 404, 405, 408, 409, 413, 417, 431, 502, 503);
 
     @TempDir
     private Path folder;
 
     @ParameterizedTest
     @EnumSource
-    void eachClassThatIsLoadedAfterReadinessComesFromTheArchive(Membership membership) throws Exception {
+    void classesLoadedAfterReadinessComeFromArchive(Membership membership) throws Exception {
         List<String> loaded = loadedWhileServing(membership);
-        assertTrue(loaded.size() > 0, "classes are logged");
+        assertTrue(loaded.size() > 0, "no loaded classes were logged");
         assertEquals(
                 "",
                 String.join(
@@ -42,11 +42,11 @@
     }
 
     private static boolean isArchived(String line) {
-        Matcher parts = LOADED.matcher(line);
-        return parts.matches() && parts.group(2).startsWith(ARCHIVED);
+        Matcher parts = LOADED_CLASS.matcher(line);
+        return parts.matches() && parts.group(2).startsWith(ARCHIVE_SOURCE);
     }
 
-    /** The virtual machine's log of the classes that were loaded from readiness to the end, line by line. */
+    /** Returns the lines of the JVM's class loading log from readiness to exit. */
     private List<String> loadedWhileServing(Membership membership) throws Exception {
         Path log = folder.resolve("classes.log");
         Path output = folder.resolve("output.log");
@@ -54,14 +54,14 @@
             Process sidecar = PackagedSidecar.start(session, "-Xlog:class+load:file=" + log + ":none", output);
             try {
                 session.awaitReady();
-                long before = Files.readAllLines(log).size();
+                long linesBefore = Files.readAllLines(log).size();
                 Set<Integer> statuses = session.runTraffic();
-                assertTrue(statuses.containsAll(STATUSES), statuses + " came");
+                assertTrue(statuses.containsAll(EXPECTED_STATUSES), "statuses received: " + statuses);
                 session.reload(sidecar.pid());
                 TrainingSession.signal(sidecar.pid(), "TERM");
-                assertTrue(sidecar.waitFor(Wire.PATIENCE_MS, TimeUnit.MILLISECONDS), "it ends by SIGTERM");
+                assertTrue(sidecar.waitFor(Wire.PATIENCE_MS, TimeUnit.MILLISECONDS), "exits after SIGTERM");
                 assertEquals(0, sidecar.exitValue(), () -> read(output));
-                return Files.readAllLines(log).stream().skip(before).toList();
+                return Files.readAllLines(log).stream().skip(linesBefore).toList();
             } finally {
                 sidecar.destroyForcibly();
             }
--- a/sidecar/src/test/java/gradehub/node/StalledLogIT.java
+++ b/sidecar/src/test/java/gradehub/node/StalledLogIT.java
@@ -14,16 +14,16 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Report d1669c: standard error is a pipe that nobody reads, and it is full. */
+/** Regression tests for report d1669c: standard error is a full pipe that nobody reads. */
 class StalledLogIT {
 
     private static final long SEED = 1;
     private static final int REMAINING_MS = 2_000;
     private static final int REQUESTS = 20;
-    /** The one that Linux gives to a pipe. */
-    private static final int PIPE_BYTES = 1 << 16;
-    /** SIGTERM lets what is taken end, which takes about one second where nothing is; the rest is for a busy machine. */
-    private static final long STOP_MS = 4_000;
+    /** The default capacity of a pipe on Linux. */
+    private static final int PIPE_CAPACITY_BYTES = 1 << 16;
+    /** After SIGTERM requests in flight complete; without any, shutdown takes about 1 s. The margin is for a busy machine. */
+    private static final long SHUTDOWN_LIMIT_MS = 4_000;
 
     @TempDir
     private Path folder;
@@ -44,9 +44,9 @@
         pipe = openLogPipe();
         sidecar = SidecarProcess.start(
                 folder, rig.config(null).put("discovery", discovery.address()), faults.environment());
-        long untilNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(Wire.PATIENCE_MS);
+        long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(Wire.PATIENCE_MS);
         while (!sidecar.isReady()) {
-            assertTrue(System.nanoTime() < untilNanos, "it is not ready");
+            assertTrue(System.nanoTime() < deadlineNanos, "sidecar is not ready");
             TimeUnit.MILLISECONDS.sleep(1);
         }
     }
@@ -60,17 +60,17 @@
         rig.close();
     }
 
-    /** A named pipe in the place of the sidecar's log, open at both ends, so that neither open has to wait. */
+    /** Creates a named pipe in place of the log file, opened for reading and writing so that no open blocks. */
     private RandomAccessFile openLogPipe() throws Exception {
         Path log = folder.resolve("sidecar.log");
         assertEquals(0, new ProcessBuilder("mkfifo", log.toString()).start().waitFor());
         return new RandomAccessFile(log.toFile(), "rw");
     }
 
-    /** Reads the lines that are in the pipe, and then fills it to the last byte. */
-    private void stallReader() throws Exception {
+    /** Reads the lines that are in the pipe, then fills the pipe completely. */
+    private void fillPipe() throws Exception {
         readLinesUntil("listening on");
-        pipe.write(new byte[PIPE_BYTES]);
+        pipe.write(new byte[PIPE_CAPACITY_BYTES]);
     }
 
     private String readLinesUntil(String text) throws Exception {
@@ -81,22 +81,22 @@
         return read.toString();
     }
 
-    private void logFailures() throws Exception {
+    private void logAcceptFailures() throws Exception {
         faults.set(Call.ACCEPT, Error.ENFILE, 100);
-        try (Wire waiting = sidecar.client()) {
+        try (Wire client = sidecar.client()) {
             faults.awaitInjected(Call.ACCEPT, faults.injected(Call.ACCEPT) + 1, sidecar.process());
             faults.clear(Call.ACCEPT);
-            waiting.send(Rig.get(Rig.id(1), REMAINING_MS));
-            waiting.patienceMs(REMAINING_MS);
-            assertEquals(200, waiting.read().status());
+            client.send(Rig.get(Rig.id(1), REMAINING_MS));
+            client.patienceMs(REMAINING_MS);
+            assertEquals(200, client.read().status());
         }
     }
 
-    /** A line of the log held the event loop for as long as nobody read: clients had no answer, SIGTERM no effect. */
+    /** Writing a log line blocked the event loop until it was read: clients got no answer and SIGTERM had no effect. */
     @Test
-    void aLogThatNobodyReadsHoldsNeitherRequestsNorTheStop() throws Exception {
-        stallReader();
-        logFailures();
+    void blockedLogDelaysNeitherRequestsNorShutdown() throws Exception {
+        fillPipe();
+        logAcceptFailures();
         try (Wire client = sidecar.client()) {
             client.patienceMs(REMAINING_MS);
             for (int number = 2; number < 2 + REQUESTS; number++) {
@@ -104,27 +104,27 @@
                 assertEquals(200, client.read().status());
             }
         }
-        assertTrue(sidecar.endsBySigterm(STOP_MS), "SIGTERM ends it");
+        assertTrue(sidecar.endsBySigterm(SHUTDOWN_LIMIT_MS), "exits after SIGTERM");
         assertEquals(0, sidecar.process().exitValue());
     }
 
-    /** After SIGTERM the runtime took away the log's handlers, and what the sidecar said while it stopped was lost. */
+    /** After SIGTERM the JDK removed the log handlers, and what the sidecar logged during shutdown was lost. */
     @Test
-    void whatIsLoggedWhileItStopsComesOut() throws Exception {
+    void shutdownMessagesAreWritten() throws Exception {
         readLinesUntil("listening on");
-        assertTrue(sidecar.endsBySigterm(Wire.PATIENCE_MS), "SIGTERM ends it");
-        byte[] left = new byte[PIPE_BYTES];
-        pipe.write('\n'); // else a read of an empty pipe would wait
-        int length = pipe.read(left);
-        String lines = new String(left, 0, length, StandardCharsets.UTF_8);
+        assertTrue(sidecar.endsBySigterm(Wire.PATIENCE_MS), "exits after SIGTERM");
+        byte[] buffer = new byte[PIPE_CAPACITY_BYTES];
+        pipe.write('\n'); // prevents a blocking read of an empty pipe
+        int length = pipe.read(buffer);
+        String lines = new String(buffer, 0, length, StandardCharsets.UTF_8);
         assertTrue(lines.contains("stopped"), lines);
     }
 
-    /** Lines that were held back by a reader that has come back are not lost as long as there is room for them. */
+    /** Records within the queue's capacity are written once the reader resumes. */
     @Test
-    void linesComeOutOnceTheReaderIsBack() throws Exception {
-        stallReader();
-        logFailures();
+    void queuedRecordsAreWrittenAfterReaderResumes() throws Exception {
+        fillPipe();
+        logAcceptFailures();
         readLinesUntil("can't accept");
     }
 }
--- a/sidecar/src/test/java/gradehub/node/StandardErrorLogTest.java
+++ b/sidecar/src/test/java/gradehub/node/StandardErrorLogTest.java
@@ -14,16 +14,16 @@
 import java.util.logging.LogRecord;
 import org.junit.jupiter.api.Test;
 
-/** Report d1669c: whoever logs must never wait for whoever reads the log. */
+/** Regression tests for report d1669c: logging must never block on a slow reader of standard error. */
 class StandardErrorLogTest {
 
-    private static final int ROOM = 4;
+    private static final int QUEUE_CAPACITY = 4;
     private static final int LINES = 20;
 
-    /** Takes nothing until its reader is back. */
+    /** Blocks each write until {@link #resumed} is released. */
     private static final class StalledOutput extends OutputStream {
-        private final CountDownLatch begun = new CountDownLatch(1);
-        private final CountDownLatch back = new CountDownLatch(1);
+        private final CountDownLatch writeStarted = new CountDownLatch(1);
+        private final CountDownLatch resumed = new CountDownLatch(1);
         private final List<String> written = new ArrayList<>();
 
         @Override
@@ -33,9 +33,9 @@
 
         @Override
         public void write(byte[] line) throws IOException {
-            begun.countDown();
+            writeStarted.countDown();
             try {
-                back.await();
+                resumed.await();
             } catch (InterruptedException e) {
                 throw new IOException(e);
             }
@@ -55,39 +55,39 @@
         log.publish(new LogRecord(Level.INFO, text));
     }
 
-    /** Without a bound on the buffer, a reader that never comes back would take all memory. */
+    /** With an unbounded queue, a reader that never resumes would exhaust the memory. */
     @Test
-    void linesForWhichThereIsNoRoomAreDroppedAndCounted() throws Exception {
+    void recordsBeyondCapacityAreDroppedAndCounted() throws Exception {
         StalledOutput out = new StalledOutput();
-        StandardErrorLog log = new StandardErrorLog(out, ROOM);
+        StandardErrorLog log = new StandardErrorLog(out, QUEUE_CAPACITY);
         log(log, "the first line");
-        out.begun.await();
+        out.writeStarted.await();
         for (int i = 0; i < LINES; i++) {
             log(log, "line " + i + ";");
         }
-        out.back.countDown();
+        out.resumed.countDown();
         log.flush(Wire.PATIENCE_MS);
         String text = out.text();
         assertTrue(text.contains("the first line"), text);
         for (int i = 0; i < LINES; i++) {
-            assertEquals(i < ROOM, text.contains("line " + i + ";"), text);
+            assertEquals(i < QUEUE_CAPACITY, text.contains("line " + i + ";"), text);
         }
-        assertTrue(text.contains(LINES - ROOM + " lines of the log were dropped"), text);
+        assertTrue(text.contains(LINES - QUEUE_CAPACITY + " log records were dropped"), text);
     }
 
-    /** A reader that does not read may delay the end of the process by a few hundred milliseconds. */
+    /** A blocked reader may delay the exit of the process by a few hundred milliseconds at most. */
     @Test
-    void theEndDoesNotWaitLongForAReaderThatDoesNotRead() throws Exception {
-        long longestMs = 100;
+    void flushTimesOutWhenOutputIsBlocked() throws Exception {
+        long timeoutMs = 100;
         StalledOutput out = new StalledOutput();
-        StandardErrorLog log = new StandardErrorLog(out, ROOM);
+        StandardErrorLog log = new StandardErrorLog(out, QUEUE_CAPACITY);
         log(log, "a line");
-        out.begun.await();
-        long beginNanos = System.nanoTime();
-        log.flush(longestMs);
-        long tookMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - beginNanos);
-        out.back.countDown();
-        assertTrue(tookMs >= longestMs, "it waited " + tookMs + " ms");
-        assertTrue(tookMs < 10 * longestMs, "it waited " + tookMs + " ms");
+        out.writeStarted.await();
+        long startNanos = System.nanoTime();
+        log.flush(timeoutMs);
+        long tookMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNanos);
+        out.resumed.countDown();
+        assertTrue(tookMs >= timeoutMs, "flush waited " + tookMs + " ms");
+        assertTrue(tookMs < 10 * timeoutMs, "flush waited " + tookMs + " ms");
     }
 }
--- a/sidecar/src/test/java/gradehub/node/StartCollectionIT.java
+++ b/sidecar/src/test/java/gradehub/node/StartCollectionIT.java
@@ -9,23 +9,23 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Collections of the packaged sidecar's heap: each stands in the way of the requests that come meanwhile. */
+/** Full garbage collections of the packaged sidecar: each delays the requests that arrive during it. */
 class StartCollectionIT {
 
     @TempDir
     private Path folder;
 
     @Test
-    void theObjectsOfTheStartAreCollectedBeforeClientsCome() throws Exception {
+    void startupGarbageIsCollectedBeforeReadiness() throws Exception {
         Path log = folder.resolve("collections.log");
         Path output = folder.resolve("output.log");
         try (TrainingSession session = new TrainingSession(Membership.PUSH, folder)) {
             Process sidecar = PackagedSidecar.start(session, "-Xlog:gc:file=" + log + ":none", output);
             try {
                 session.awaitReady();
-                assertEquals(1, fullCollections(log), () -> "by readiness: " + log);
+                assertEquals(1, fullCollections(log), () -> "full collections before readiness: " + log);
                 session.runTraffic();
-                assertEquals(1, fullCollections(log), () -> "after it: " + log);
+                assertEquals(1, fullCollections(log), () -> "full collections after the traffic: " + log);
             } finally {
                 sidecar.destroyForcibly();
             }
--- a/sidecar/src/test/java/gradehub/node/WarmupTest.java
+++ b/sidecar/src/test/java/gradehub/node/WarmupTest.java
@@ -6,39 +6,39 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** What a sidecar does before it listens. */
+/** The warm-up that a sidecar runs before it listens. */
 class WarmupTest {
 
-    /** On a part of a core each request takes far longer than here; that must not make it end half compiled. */
+    /** On a fraction of a core each request takes far longer than here; the warm-up must still send all requests. */
     @Test
-    void aSlowStartStillRehearsesEachRequest() throws Exception {
-        assertEquals(Warmup.REQUESTS, Warmup.warmUp(1, inMs(Wire.PATIENCE_MS)));
+    void slowUpstreamDoesNotShortenWarmUp() throws Exception {
+        assertEquals(Warmup.REQUESTS, Warmup.warmUp(1, deadlineIn(Wire.PATIENCE_MS)));
     }
 
-    private static long inMs(long ms) {
+    private static long deadlineIn(long ms) {
         return System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(ms);
     }
 
-    /** An answer that takes for ever stands for a part of a core that is far too small. */
+    /** An upstream that does not answer in time stands for a far too small fraction of a core. */
     @Test
-    void aRehearsalEndsInTimeWhateverIsUnderWay() throws Exception {
+    void warmUpEndsAtDeadlineWithRequestInFlight() throws Exception {
         long startNanos = System.nanoTime();
-        assertEquals(0, Warmup.warmUp(Wire.PATIENCE_MS, inMs(300)));
+        assertEquals(0, Warmup.warmUp(Wire.PATIENCE_MS, deadlineIn(300)));
         long tookMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNanos);
-        assertTrue(tookMs < Wire.PATIENCE_MS / 2, "it took " + tookMs + " ms");
+        assertTrue(tookMs < Wire.PATIENCE_MS / 2, "warm-up took " + tookMs + " ms");
     }
 
-    /** On a small part of a core the time may be over before the sidecar that rehearses is up. */
+    /** On a small fraction of a core the deadline may pass before the temporary sidecar has started. */
     @Test
-    void aStartThatHasTakenAllTheTimeRehearsesNothing() throws Exception {
-        assertEquals(0, Warmup.warmUp(0, inMs(0)));
+    void expiredDeadlineSkipsWarmUp() throws Exception {
+        assertEquals(0, Warmup.warmUp(0, deadlineIn(0)));
     }
 
-    /** Nine in ten processes have to be ready 10 s after their start, the virtual machine's own part included. */
+    /** Nine in ten processes must be ready within 10 s of their start, which includes the start of the JVM. */
     @Test
-    void theLongerTheProcessHasRunTheLessIsRehearsed() {
+    void uptimeReducesBudget() {
         assertEquals(0, Warmup.budgetMs(9000));
         assertEquals(1000, Warmup.budgetMs(0) - Warmup.budgetMs(1000), 1e-6);
-        assertTrue(Warmup.budgetMs(0) < 9000, "time is left to bind and to have a list");
+        assertTrue(Warmup.budgetMs(0) < 9000, "time remains to load the list and bind the listener");
     }
 }
