--- a/sidecar/src/main/java/gradehub/node/Engine.java
+++ b/sidecar/src/main/java/gradehub/node/Engine.java
@@ -107,12 +107,12 @@
             Clock clock,
             Config config,
             SocketBudget sockets,
-            Supplier<LookingChannel> opened,
+            Supplier<ReadAheadChannel> opened,
             Function<Balancer.Actions, Balancer> module) {
         this.loop = loop;
         this.clock = clock;
         this.settings = config.settings();
-        this.slackMs = config.slackMs();
+        this.slackMs = config.answerSlackMs();
         this.upstreams = new Upstreams(loop, clock, config, sockets, opened, this);
         this.balancer = module.apply(this);
         this.balancer.clientRoom(sockets.mostRequests());
--- a/sidecar/src/main/java/gradehub/node/Warmup.java
+++ b/sidecar/src/main/java/gradehub/node/Warmup.java
@@ -51,7 +51,7 @@
             warmUp(
                     0,
                     deadlineNanos(budgetMs(ManagementFactory.getRuntimeMXBean().getUptime())));
-        } catch (IOException | RuntimeException | Config.BadConfigException e) {
+        } catch (IOException | RuntimeException | Config.InvalidConfigException e) {
             LOG.log(System.Logger.Level.WARNING, "warm-up failed", e);
         }
     }
@@ -74,13 +74,13 @@
      * @return the number of answered requests
      */
     static int warmUp(long upstreamMs, long deadlineNanos)
-            throws IOException, InterruptedException, Config.BadConfigException {
+            throws IOException, InterruptedException, Config.InvalidConfigException {
         try (ServerSocket listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
             Thread acceptor = new Thread(() -> accept(listener, upstreamMs));
             acceptor.setDaemon(true);
             acceptor.start();
             String address = listener.getInetAddress().getHostAddress() + ":" + listener.getLocalPort();
-            Sidecar sidecar = Sidecar.start(Config.of(Config.JSON.readTree(CONFIG.formatted(address))));
+            Sidecar sidecar = Sidecar.start(Config.parse(Config.JSON.readTree(CONFIG.formatted(address))));
             int answered = sendRequests((InetSocketAddress) sidecar.address(), deadlineNanos);
             sidecar.halt();
             return answered;
--- a/sidecar/src/test/java/gradehub/node/ServedClassesIT.java
+++ b/sidecar/src/test/java/gradehub/node/ServedClassesIT.java
@@ -59,7 +59,7 @@
                 assertTrue(statuses.containsAll(EXPECTED_STATUSES), "statuses received: " + statuses);
                 session.reload(sidecar.pid());
                 TrainingSession.signal(sidecar.pid(), "TERM");
-                assertTrue(sidecar.waitFor(Wire.PATIENCE_MS, TimeUnit.MILLISECONDS), "exits after SIGTERM");
+                assertTrue(sidecar.waitFor(RawConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS), "exits after SIGTERM");
                 assertEquals(0, sidecar.exitValue(), () -> read(output));
                 return Files.readAllLines(log).stream().skip(linesBefore).toList();
             } finally {
--- a/sidecar/src/test/java/gradehub/node/StalledLogIT.java
+++ b/sidecar/src/test/java/gradehub/node/StalledLogIT.java
@@ -29,22 +29,23 @@
     private Path folder;
 
     private SyscallFaults faults;
-    private Rig rig;
-    private AnsweringPeer upstream;
-    private AnsweringPeer discovery;
+    private SidecarFixture fixture;
+    private StubServer upstream;
+    private StubServer discovery;
     private RandomAccessFile pipe;
     private SidecarProcess sidecar;
 
     @BeforeEach
     void open() throws Exception {
         faults = new SyscallFaults(folder, SEED);
-        rig = new Rig();
-        upstream = AnsweringPeer.upstream();
-        discovery = AnsweringPeer.discovery(Rig.list(1, true, Rig.member("u1", upstream.address(), "active")));
+        fixture = new SidecarFixture();
+        upstream = StubServer.upstream();
+        discovery = StubServer.discovery(
+                SidecarFixture.list(1, true, SidecarFixture.member("u1", upstream.address(), "active")));
         pipe = openLogPipe();
         sidecar = SidecarProcess.start(
-                folder, rig.config(null).put("discovery", discovery.address()), faults.environment());
-        long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(Wire.PATIENCE_MS);
+                folder, fixture.config(null).put("discovery", discovery.address()), faults.environment());
+        long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(RawConnection.TIMEOUT_MS);
         while (!sidecar.isReady()) {
             assertTrue(System.nanoTime() < deadlineNanos, "sidecar is not ready");
             TimeUnit.MILLISECONDS.sleep(1);
@@ -57,7 +58,7 @@
         pipe.close();
         discovery.close();
         upstream.close();
-        rig.close();
+        fixture.close();
     }
 
     /** Creates a named pipe in place of the log file, opened for reading and writing so that no open blocks. */
@@ -83,11 +84,11 @@
 
     private void logAcceptFailures() throws Exception {
         faults.set(Call.ACCEPT, Error.ENFILE, 100);
-        try (Wire client = sidecar.client()) {
-            faults.awaitInjected(Call.ACCEPT, faults.injected(Call.ACCEPT) + 1, sidecar.process());
+        try (RawConnection client = sidecar.client()) {
+            faults.awaitInjected(Call.ACCEPT, faults.injectedCount(Call.ACCEPT) + 1, sidecar.process());
             faults.clear(Call.ACCEPT);
-            client.send(Rig.get(Rig.id(1), REMAINING_MS));
-            client.patienceMs(REMAINING_MS);
+            client.send(SidecarFixture.getRequest(SidecarFixture.requestId(1), REMAINING_MS));
+            client.setReadTimeoutMs(REMAINING_MS);
             assertEquals(200, client.read().status());
         }
     }
@@ -97,14 +98,14 @@
     void blockedLogDelaysNeitherRequestsNorShutdown() throws Exception {
         fillPipe();
         logAcceptFailures();
-        try (Wire client = sidecar.client()) {
-            client.patienceMs(REMAINING_MS);
+        try (RawConnection client = sidecar.client()) {
+            client.setReadTimeoutMs(REMAINING_MS);
             for (int number = 2; number < 2 + REQUESTS; number++) {
-                client.send(Rig.get(Rig.id(number), REMAINING_MS));
+                client.send(SidecarFixture.getRequest(SidecarFixture.requestId(number), REMAINING_MS));
                 assertEquals(200, client.read().status());
             }
         }
-        assertTrue(sidecar.endsBySigterm(SHUTDOWN_LIMIT_MS), "exits after SIGTERM");
+        assertTrue(sidecar.exitsOnSigterm(SHUTDOWN_LIMIT_MS), "exits after SIGTERM");
         assertEquals(0, sidecar.process().exitValue());
     }
 
@@ -112,7 +113,7 @@
     @Test
     void shutdownMessagesAreWritten() throws Exception {
         readLinesUntil("listening on");
-        assertTrue(sidecar.endsBySigterm(Wire.PATIENCE_MS), "exits after SIGTERM");
+        assertTrue(sidecar.exitsOnSigterm(RawConnection.TIMEOUT_MS), "exits after SIGTERM");
         byte[] buffer = new byte[PIPE_CAPACITY_BYTES];
         pipe.write('\n'); // prevents a blocking read of an empty pipe
         int length = pipe.read(buffer);
--- a/sidecar/src/test/java/gradehub/node/WarmupTest.java
+++ b/sidecar/src/test/java/gradehub/node/WarmupTest.java
@@ -12,7 +12,7 @@
     /** On a fraction of a core each request takes far longer than here; the warm-up must still send all requests. */
     @Test
     void slowUpstreamDoesNotShortenWarmUp() throws Exception {
-        assertEquals(Warmup.REQUESTS, Warmup.warmUp(1, deadlineIn(Wire.PATIENCE_MS)));
+        assertEquals(Warmup.REQUESTS, Warmup.warmUp(1, deadlineIn(RawConnection.TIMEOUT_MS)));
     }
 
     private static long deadlineIn(long ms) {
@@ -23,9 +23,9 @@
     @Test
     void warmUpEndsAtDeadlineWithRequestInFlight() throws Exception {
         long startNanos = System.nanoTime();
-        assertEquals(0, Warmup.warmUp(Wire.PATIENCE_MS, deadlineIn(300)));
+        assertEquals(0, Warmup.warmUp(RawConnection.TIMEOUT_MS, deadlineIn(300)));
         long tookMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNanos);
-        assertTrue(tookMs < Wire.PATIENCE_MS / 2, "warm-up took " + tookMs + " ms");
+        assertTrue(tookMs < RawConnection.TIMEOUT_MS / 2, "warm-up took " + tookMs + " ms");
     }
 
     /** On a small fraction of a core the deadline may pass before the temporary sidecar has started. */
