--- a/sidecar/src/test/java/gradehub/ColdFleetTest.java
+++ b/sidecar/src/test/java/gradehub/ColdFleetTest.java
@@ -22,20 +22,20 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What thirty sidecars together send to a server that has just started; none knows what the others do. */
+/** The combined load of thirty independent sidecars on a server that has just started. */
 class ColdFleetTest {
 
     private static final int SIDECARS = 30;
     private static final Limits LIMITS = new Limits(4, true, true, false, 0);
-    private static final double MEAN_MS = 50; // of work
+    private static final double MEAN_MS = 50; // of work per request
     private static final double STEP_MS = 5;
-    private static final double QUIET_MS = 6000; // before the start
-    private static final double COLD_MS = 20_000; // watched after it
+    private static final double BEFORE_START_MS = 6000;
+    private static final double AFTER_START_MS = 20_000;
 
-    /** One request's arrival at the cold server; work in mean requests. */
+    /** An arrival at the cold server; work is in units of a mean request. */
     private record Arrival(double atMs, double work) {}
 
-    /** A part of the fleet falls silent while the server is cold: what goes to it then is what was saved up. */
+    /** Some servers stop answering while the new one is cold, so that it may get the tokens saved until then. */
     @ParameterizedTest
     @CsvSource({
         "10,4,1,0,2",
@@ -51,7 +51,7 @@
         "16,1.5,10,15,2",
         "16,1.5,11,15,8"
     })
-    void theSumOfAllStaysWithinTheBudget(int servers, double factor, int seed, int silent, double perServerS) {
+    void combinedLoadStaysWithinTheBudget(int servers, double factor, int seed, int silent, double perServerS) {
         Random random = new Random(seed);
         Contract contract = new Contract(0.12, 24_000, factor, 2000, 10_000);
         Settings settings = settings(contract);
@@ -61,33 +61,33 @@
         for (int i = 0; i < SIDECARS; i++) {
             fleet.add(new FakeSidecar(settings, random.nextLong()));
             fleet.get(i).listReady(servers);
-            weights[i] = -Math.log(1 - random.nextDouble()); // some ask several times the mean
+            weights[i] = -Math.log(1 - random.nextDouble()); // some sidecars have several times the mean traffic
             sum += weights[i];
         }
-        double used = 0.6; // of what a warm server can do
+        double utilisation = 0.6; // of a warm server
         List<Arrival> arrivals = new ArrayList<>();
-        for (double passed = 0; passed < QUIET_MS + COLD_MS; passed += STEP_MS) {
-            boolean falls = passed > QUIET_MS + COLD_MS / 2;
+        for (double elapsedMs = 0; elapsedMs < BEFORE_START_MS + AFTER_START_MS; elapsedMs += STEP_MS) {
+            boolean stopped = elapsedMs > BEFORE_START_MS + AFTER_START_MS / 2;
             for (int i = 0; i < SIDECARS; i++) {
                 FakeSidecar sidecar = fleet.get(i);
-                if (passed == QUIET_MS) {
+                if (elapsedMs == BEFORE_START_MS) {
                     sidecar.updateList(ListKind.DELTA, FakeSidecar.upstream(1, Status.READY, sidecar.now));
                 }
                 if (random.nextDouble() < perServerS * servers * weights[i] / sum * STEP_MS / 1000) {
-                    double work = MEAN_MS * Math.exp(random.nextGaussian() - 0.5); // some are several times the mean
+                    double work = MEAN_MS * Math.exp(random.nextGaussian() - 0.5); // some take several times the mean
                     int before = sidecar.sent.size();
                     sidecar.request(0, 0, 2000, false, work);
-                    note(sidecar, before, work, passed, arrivals);
+                    recordArrivals(sidecar, before, work, elapsedMs, arrivals);
                 }
                 int before = sidecar.sent.size();
-                answer(sidecar, falls ? silent : 0);
+                answerDue(sidecar, stopped ? silent : 0);
                 sidecar.advance(STEP_MS);
-                note(sidecar, before, MEAN_MS, passed, arrivals);
+                recordArrivals(sidecar, before, MEAN_MS, elapsedMs, arrivals);
             }
         }
-        assertFalse(arrivals.isEmpty(), "it is warmed up");
+        assertFalse(arrivals.isEmpty(), "the started server gets requests");
         fleet.forEach(sidecar -> assertEquals(List.of(), sidecar.violations));
-        double capacityPerMs = perServerS / used / 1000;
+        double capacityPerMs = perServerS / utilisation / 1000;
         assertWithinBudget(arrivals, contract, capacityPerMs);
     }
 
@@ -108,7 +108,7 @@
                 new Goal(1, 0, 0));
     }
 
-    /** In each window of the contract the server gets what it can do by then, times the overload factor, and chance. */
+    /** Checks each window of the contract: at most capacity times overload factor, plus random variation. */
     private static void assertWithinBudget(List<Arrival> arrivals, Contract contract, double capacityPerMs) {
         ArrayDeque<Arrival> window = new ArrayDeque<>();
         double inWindow = 0;
@@ -118,17 +118,17 @@
             while (next.atMs - window.peek().atMs > contract.overloadMs()) {
                 inWindow -= window.poll().work;
             }
-            double age = window.peek().atMs / contract.coldMs();
-            double present = capacityPerMs * (contract.coldFrom() + (1 - contract.coldFrom()) * age);
-            double budget = contract.overloadFactor() * present * contract.overloadMs();
-            double most = budget + 2 * Math.sqrt(budget) + 2;
-            assertTrue(inWindow <= most, inWindow + " mean requests to " + next.atMs + " ms, allowed " + most);
+            double coldFraction = window.peek().atMs / contract.coldMs();
+            double capacity = capacityPerMs * (contract.coldFrom() + (1 - contract.coldFrom()) * coldFraction);
+            double budget = contract.overloadFactor() * capacity * contract.overloadMs();
+            double allowed = budget + 2 * Math.sqrt(budget) + 2;
+            assertTrue(inWindow <= allowed, inWindow + " mean requests to " + next.atMs + " ms, allowed " + allowed);
         }
     }
 
-    /** It is all that is left: what goes to it is what its budget allows, not what is asked for. */
+    /** The cold server is the only one left, so its budget and not the demand bounds what it gets. */
     @Test
-    void requestsWithoutAHintCountAsMuchAsTheOthers() {
+    void requestsWithoutACostHintAreChargedAsTheMean() {
         FakeSidecar sidecar = new FakeSidecar(TestSettings.safe(), 1);
         sidecar.listReady(2);
         int sentBefore = 0;
@@ -138,27 +138,28 @@
                 sentBefore = sidecar.sent.size();
             }
             sidecar.request(0, 0, 4000, false, i < 50 ? MEAN_MS : 0);
-            for (double passed = 0; passed < 100; passed += STEP_MS) {
+            for (double elapsedMs = 0; elapsedMs < 100; elapsedMs += STEP_MS) {
                 sidecar.advance(STEP_MS);
-                answer(sidecar, 0);
+                answerDue(sidecar, 0);
             }
         }
         int sent = sidecar.sent.size() - sentBefore;
-        assertTrue(sent > 0 && sent < 25, sent + " of 50 to a server that is at a quarter to five eighths");
+        assertTrue(sent > 0 && sent < 25, sent + " of 50 to a server at a quarter to five eighths of its capacity");
         assertEquals(List.of(), sidecar.violations);
     }
 
-    /** Those sent since to the one that started, after its start. */
-    private static void note(FakeSidecar sidecar, int before, double work, double passed, List<Arrival> arrivals) {
+    /** Records the attempts from index {@code before} that went to the started server after its start. */
+    private static void recordArrivals(
+            FakeSidecar sidecar, int before, double work, double elapsedMs, List<Arrival> arrivals) {
         for (FakeSidecar.SentAttempt sent : sidecar.sent.subList(before, sidecar.sent.size())) {
-            if (sent.upstream == 1 && passed >= QUIET_MS) {
-                arrivals.add(new Arrival(passed - QUIET_MS, work / MEAN_MS));
+            if (sent.upstream == 1 && elapsedMs >= BEFORE_START_MS) {
+                arrivals.add(new Arrival(elapsedMs - BEFORE_START_MS, work / MEAN_MS));
             }
         }
     }
 
-    /** So many of those behind the one that started say nothing, and that one is slower than the others. */
-    private static void answer(FakeSidecar sidecar, int silent) {
+    /** Answers due attempts: {@code silent} servers never answer, and the started one takes twice the time. */
+    private static void answerDue(FakeSidecar sidecar, int silent) {
         for (FakeSidecar.SentAttempt attempt : sidecar.pendingAttempts()) {
             if (attempt.upstream > 1 + silent && sidecar.now - attempt.atMs >= MEAN_MS
                     || attempt.upstream == 1 && sidecar.now - attempt.atMs >= 2 * MEAN_MS) {
--- a/sidecar/src/test/java/gradehub/RulesTest.java
+++ b/sidecar/src/test/java/gradehub/RulesTest.java
@@ -21,54 +21,55 @@
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** The rules as properties over generated events, for every effect class and limit. */
+/** Property tests of the rules: generated events with every combination of effect, group and limits. */
 class RulesTest {
 
-    static Stream<Arguments> worlds() {
-        List<Arguments> worlds = new ArrayList<>();
+    static Stream<Arguments> combinations() {
+        List<Arguments> combinations = new ArrayList<>();
         for (Effect effect : Effect.values()) {
             for (Group group : effect == Effect.KEYED ? Group.values() : new Group[] {Group.ALL}) {
                 for (boolean copies : new boolean[] {true, false}) {
                     for (boolean cancel : new boolean[] {true, false}) {
                         for (int attempts : new int[] {1, 4}) {
-                            worlds.add(Arguments.of(effect, group, new Limits(attempts, copies, cancel, false, 0)));
+                            combinations.add(
+                                    Arguments.of(effect, group, new Limits(attempts, copies, cancel, false, 0)));
                         }
                     }
                 }
             }
         }
-        return worlds.stream();
+        return combinations.stream();
     }
 
     @ParameterizedTest
-    @MethodSource("worlds")
-    void generatedEventsBreakNoRule(Effect effect, Group group, Limits limits) {
+    @MethodSource("combinations")
+    void generatedEventsViolateNoRule(Effect effect, Group group, Limits limits) {
         for (int seed = 0; seed < 8; seed++) {
             Settings settings = TestSettings.settings(
                     3, limits, seed % 2 == 0, List.of(), TestSettings.requestClass(effect, group, 1));
             FakeSidecar sidecar = new FakeSidecar(settings, seed);
-            play(sidecar, new Random(seed), 1500);
+            playRandomEvents(sidecar, new Random(seed), 1500);
             assertEquals(List.of(), sidecar.violations, "seed " + seed);
             assertEquals(0, sidecar.openRequests());
-            assertTrue(sidecar.served > 0, "something was served");
+            assertTrue(sidecar.served > 0, "at least one request is served");
         }
     }
 
-    /** Random events: requests of all patience, answers of all kinds, lists old and new, restarts, clients gone. */
-    private static void play(FakeSidecar sidecar, Random random, int events) {
+    /** Plays random events: requests with various time-outs, all outcomes, list updates, restarts, departed clients. */
+    private static void playRandomEvents(FakeSidecar sidecar, Random random, int events) {
         sidecar.updateList(ListKind.CACHED);
         sidecar.listReady(1 + random.nextInt(14));
         Outcome[] outcomes = Outcome.values();
-        int newest = 0;
+        int latestRequest = 0;
         for (int i = 0; i < events; i++) {
-            List<FakeSidecar.SentAttempt> out = sidecar.pendingAttempts();
-            int dice = random.nextInt(100);
-            if (dice < 35) {
-                newest = sidecar.request(0, 0, random.nextInt(10) == 0 ? 5 + random.nextInt(200) : 4000, false);
-            } else if (dice < 70 && !out.isEmpty()) {
+            List<FakeSidecar.SentAttempt> pending = sidecar.pendingAttempts();
+            int roll = random.nextInt(100);
+            if (roll < 35) {
+                latestRequest = sidecar.request(0, 0, random.nextInt(10) == 0 ? 5 + random.nextInt(200) : 4000, false);
+            } else if (roll < 70 && !pending.isEmpty()) {
                 Outcome outcome = random.nextBoolean() ? Outcome.OK : outcomes[random.nextInt(outcomes.length)];
-                sidecar.end(out.get(random.nextInt(out.size())), outcome);
-            } else if (dice < 73) {
+                sidecar.end(pending.get(random.nextInt(pending.size())), outcome);
+            } else if (roll < 73) {
                 Status[] statuses = Status.values();
                 List<Upstream> entries = new ArrayList<>();
                 for (int id = 1 + random.nextInt(3); id < 16; id += 1 + random.nextInt(5)) {
@@ -77,10 +78,10 @@
                 }
                 sidecar.updateList(
                         random.nextInt(4) == 0 ? ListKind.FULL : ListKind.DELTA, entries.toArray(new Upstream[0]));
-            } else if (dice < 74) {
+            } else if (roll < 74) {
                 sidecar.updateList(ListKind.FAILED);
-            } else if (dice < 76 && newest > 0 && !sidecar.ended(newest)) {
-                sidecar.disconnectClient(newest);
+            } else if (roll < 76 && latestRequest > 0 && !sidecar.ended(latestRequest)) {
+                sidecar.disconnectClient(latestRequest);
             } else {
                 sidecar.advance(random.nextInt(40));
             }
@@ -89,48 +90,48 @@
     }
 
     @Test
-    void theCheckerCatchesEachBreach() {
-        assertCaught("drain", Effect.SAFE, (sidecar, request) -> {
+    void fakeSidecarDetectsEachViolation() {
+        assertDetected("drain", Effect.SAFE, (sidecar, request) -> {
             sidecar.updateList(ListKind.DELTA, FakeSidecar.upstream(1, Status.DRAINING, 0));
             sidecar.send(request, 1, 100);
         });
-        assertCaught("repeat", Effect.UNSAFE, (sidecar, request) -> {
+        assertDetected("repeat", Effect.UNSAFE, (sidecar, request) -> {
             sidecar.send(request, 1, 100);
             sidecar.send(request, 2, 100);
         });
-        assertCaught("repeat", Effect.UNSAFE, (sidecar, request) -> {
+        assertDetected("repeat", Effect.UNSAFE, (sidecar, request) -> {
             sidecar.send(request, 1, 100);
             sidecar.refuse(request, 0);
         });
-        assertCaught("repeat", Effect.KEYED, (sidecar, request) -> {
+        assertDetected("repeat", Effect.KEYED, (sidecar, request) -> {
             sidecar.send(request, 1, 100);
             sidecar.send(request, 2, 100);
         });
-        assertCaught("lost", Effect.SAFE, (sidecar, request) -> {
+        assertDetected("lost", Effect.SAFE, (sidecar, request) -> {
             sidecar.refuse(request, 0);
             sidecar.fail(request);
         });
-        assertCaught("lost", Effect.SAFE, (sidecar, request) -> sidecar.advance(10_000));
+        assertDetected("lost", Effect.SAFE, (sidecar, request) -> sidecar.advance(10_000));
     }
 
-    private interface Misdeed {
+    private interface Violation {
         void commit(FakeSidecar sidecar, int request);
     }
 
-    private static void assertCaught(String rule, Effect effect, Misdeed misdeed) {
+    private static void assertDetected(String rule, Effect effect, Violation violation) {
         FakeSidecar sidecar = new FakeSidecar(
                 TestSettings.settings(TestSettings.requestClass(effect, Group.ZONE, 1)),
                 1,
                 (settings, seed, actions) -> new NoOpBalancer());
         sidecar.listReady(3);
-        misdeed.commit(sidecar, sidecar.request(0));
+        violation.commit(sidecar, sidecar.request(0));
         assertTrue(
-                sidecar.violations.stream().anyMatch(breach -> breach.startsWith(rule)),
+                sidecar.violations.stream().anyMatch(found -> found.startsWith(rule)),
                 rule + " not in " + sidecar.violations);
     }
 
     @Test
-    void lateAndUnknownEventsChangeNothing() {
+    void lateAndUnknownEventsAreIgnored() {
         FakeSidecar sidecar = new FakeSidecar(TestSettings.safe(), 3);
         sidecar.listReady(3);
         int request = sidecar.request(0);
@@ -151,8 +152,8 @@
     }
 
     @Test
-    void aRequestWithLessTimeThanAControlTickIsAnsweredAtOnce() {
-        // Incident id7bbad: it was held for the next control tick and answered late.
+    void requestWithLessTimeThanAControlTickIsRefusedAtOnce() {
+        // Incident id7bbad: such a request waited for the next control tick and was answered late.
         FakeSidecar sidecar = new FakeSidecar(TestSettings.safe(), 3);
         int request = sidecar.request(0, 0, 30, false);
         assertTrue(sidecar.ended(request));
@@ -160,7 +161,7 @@
     }
 
     @Test
-    void aStartedStreamIsNeitherCancelledNorSentAgain() {
+    void startedStreamIsNeitherCancelledNorRetried() {
         Settings settings = TestSettings.settings(
                 new Balancer.RequestClass("stream", 1000, 4000, 1, 0, Effect.SAFE, Group.ALL, 0, true));
         FakeSidecar sidecar = new FakeSidecar(settings, 3);
@@ -177,14 +178,14 @@
     }
 
     @Test
-    void sameEventsGiveTheSameActionsAndInstancesShareNothing() {
-        FakeSidecar alone = new FakeSidecar(TestSettings.safe(), 11);
-        play(alone, new Random(5), 1000);
-        FakeSidecar neighbour = new FakeSidecar(TestSettings.safe(), 12);
-        play(neighbour, new Random(6), 500);
-        FakeSidecar beside = new FakeSidecar(TestSettings.safe(), 11);
-        play(beside, new Random(5), 1000);
-        assertEquals(alone.actions, beside.actions);
-        assertFalse(alone.actions.equals(neighbour.actions));
+    void sameSeedAndEventsGiveTheSameActionsWithoutSharedState() {
+        FakeSidecar first = new FakeSidecar(TestSettings.safe(), 11);
+        playRandomEvents(first, new Random(5), 1000);
+        FakeSidecar other = new FakeSidecar(TestSettings.safe(), 12);
+        playRandomEvents(other, new Random(6), 500);
+        FakeSidecar repeated = new FakeSidecar(TestSettings.safe(), 11);
+        playRandomEvents(repeated, new Random(5), 1000);
+        assertEquals(first.actions, repeated.actions);
+        assertFalse(first.actions.equals(other.actions));
     }
 }
