--- a/sidecar/src/main/java/gradehub/SettingsReader.java
+++ b/sidecar/src/main/java/gradehub/SettingsReader.java
@@ -14,7 +14,7 @@
 import java.util.Map;
 
 /**
- * Reads settings by path, both for the simulator's adapter and for the sidecar on sockets. Defaults are restrictive: one
+ * Reads settings by path, for the simulator's adapter and for the sidecar on sockets. Defaults are restrictive: one
  * attempt, no optional features, requests unsafe to repeat. A class without a deadline is rejected.
  */
 public final class SettingsReader {
