--- a/sidecar/src/main/java/gradehub/node/ClientConnection.java
+++ b/sidecar/src/main/java/gradehub/node/ClientConnection.java
@@ -19,60 +19,60 @@
 import java.util.ArrayDeque;
 import java.util.Locale;
 
-/** One connection of a client: its requests, the answers to them in their order, and its end. */
+/** A client connection: reads requests, writes their answers in request order, and closes gracefully. */
 final class ClientConnection extends SimpleChannelInboundHandler<FullHttpRequest> implements RequestDecoder.Input {
 
     private static final System.Logger LOG = System.getLogger("gradehub");
-    /** For a request's bytes from the first to the last; the first request's time counts from connecting. */
+    /** Limit from the first to the last byte of a request; for the first request it counts from connecting. */
     private static final double REQUEST_MS = 2200;
-    /** The same once the sidecar is ending: what is under way then is still waited for, but not for long. */
-    static final double LAST_REQUEST_MS = 500;
-    /** For the first byte, where others wait for room: whoever has something to say connects to say it. */
+    /** The same limit during shutdown: requests being received are still awaited, but only briefly. */
+    static final double SHUTDOWN_REQUEST_MS = 500;
+    /** Limit for the first byte when sockets run short: clients normally connect in order to send at once. */
     private static final double SILENT_MS = 250;
-    /** A connection with no request may be closed once it has been at rest for this long. */
-    private static final double REST_MS = 2000;
-    /** For the client to read an answer. */
+    /** A connection without a request may be closed after being idle for this long. */
+    private static final double IDLE_MS = 2000;
+    /** Limit for the client to read an answer. */
     private static final double READ_MS = 5000;
-    /** After an error what still comes is read for a while: a close with unread input would destroy the error. */
+    /** How long input is read after the last answer: closing with unread input would reset it, losing an error answer. */
     static final double DRAIN_MS = 500;
 
     private static final int DRAIN_BYTES = 1 << 18;
-    /** Requests in hand, beyond which no more is read. */
-    private static final int MOST_OWED = 4;
+    /** Number of pending requests at which reading pauses. */
+    private static final int MAX_PENDING = 4;
 
     private final ReadAheadChannel channel;
     private final ClientServer server;
-    private final ArrayDeque<Owed> owed = new ArrayDeque<>();
-    /** Since when the client has been silent, sending, or not reading, in this order of the fields; 0 where not. */
-    private double restsSinceMs;
+    private final ArrayDeque<PendingAnswer> pending = new ArrayDeque<>();
+    /** When the client became idle, began to send, and stopped reading, in the order of the fields; 0 if not the case. */
+    private double idleSinceMs;
 
-    private double sendsSinceMs;
-    private double writesSinceMs;
-    private double drainsSinceMs;
+    private double receivingSinceMs;
+    private double writingSinceMs;
+    private double drainingSinceMs;
     private double openedMs;
     private double openedLagMs;
-    private int writing;
-    private int drained;
+    private int pendingWrites;
+    private int drainedBytes;
     private boolean silent = true;
     private boolean answered;
-    /** What comes is no longer read as requests. */
-    private boolean deaf;
-    /** Whether what was unread when the request was overdue has had its chance. */
-    private boolean lookedAgain;
+    /** Whether further input is discarded instead of being decoded as requests. */
+    private boolean discarding;
+    /** Whether unread input has been checked for since the request became overdue. */
+    private boolean unreadInputChecked;
 
     ClientConnection(ReadAheadChannel channel, ClientServer server) {
         this.channel = channel;
         this.server = server;
     }
 
-    /** A request on this connection and, once it is there, its answer. */
-    private final class Owed implements Engine.Client {
+    /** A request on this connection and, once available, its answer. */
+    private final class PendingAnswer implements Engine.Client {
         private boolean keepAlive;
         private String id;
         private Engine.Exchange exchange;
         private FullHttpResponse response;
 
-        private Owed(boolean keepAlive) {
+        private PendingAnswer(boolean keepAlive) {
             this.keepAlive = keepAlive;
         }
 
@@ -102,7 +102,7 @@
             flushAnswers();
         }
 
-        /** Its identifier may come again. */
+        /** Allows the identifier to be used again. */
         private void release() {
             if (id != null) {
                 server.releaseId(id);
@@ -122,21 +122,21 @@
     public void channelActive(ChannelHandlerContext context) {
         openedMs = server.nowMs();
         openedLagMs = server.lagMs();
-        sendsSinceMs = openedMs;
+        receivingSinceMs = openedMs;
         server.connections().opened(this);
     }
 
     // ---- Requests.
 
     @Override
-    public void came(int bytes) {
+    public void received(int bytes) {
         silent = false;
-        if (sendsSinceMs == 0) {
-            unfinished();
+        if (receivingSinceMs == 0) {
+            requestIncomplete();
         }
-        if (drainsSinceMs > 0) {
-            drained += bytes;
-            if (drained > DRAIN_BYTES) {
+        if (drainingSinceMs > 0) {
+            drainedBytes += bytes;
+            if (drainedBytes > DRAIN_BYTES) {
                 close();
             }
         }
@@ -144,62 +144,62 @@
 
     @Override
     public boolean isDiscarding() {
-        return deaf;
+        return discarding;
     }
 
     @Override
-    public void unfinished() {
-        if (!deaf) {
-            sendsSinceMs = server.nowMs();
-            restsSinceMs = 0;
+    public void requestIncomplete() {
+        if (!discarding) {
+            receivingSinceMs = server.nowMs();
+            idleSinceMs = 0;
         }
     }
 
     @Override
     protected void channelRead0(ChannelHandlerContext context, FullHttpRequest message) {
-        if (deaf) {
+        if (discarding) {
             return;
         }
-        sendsSinceMs = 0;
-        restsSinceMs = 0;
-        lookedAgain = false;
+        receivingSinceMs = 0;
+        idleSinceMs = 0;
+        unreadInputChecked = false;
         if (message.decoderResult().isFailure()) {
             reject(message.decoderResult().cause());
             return;
         }
-        if (owed.size() >= MOST_OWED) {
+        if (pending.size() >= MAX_PENDING) {
             reject(new RejectedException(HttpResponseStatus.BAD_REQUEST, "too many requests at once"));
             return;
         }
-        Owed next = new Owed(HttpUtil.isKeepAlive(message));
-        owed.add(next);
-        readWhileThereIsRoom();
+        PendingAnswer next = new PendingAnswer(HttpUtil.isKeepAlive(message));
+        pending.add(next);
+        updateAutoRead();
         if (server.isReadinessCheck(message)) {
             next.answer(response(
                     server.ready() ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE, new byte[0]));
         } else {
-            take(message, next);
+            submit(message, next);
         }
     }
 
     /**
-     * How long the request that has just been read may have waited. The first one of a client that was accepted late may
-     * have come before that; it is taken for such a one for as long as the lag has lasted.
+     * Upper bound on how long the request just read has waited. The first request of a client that was accepted late may
+     * have arrived before the accept; it is treated so if read within the lag measured at the accept.
      */
     private double unreadMs() {
         double sinceOpenedMs = server.nowMs() - openedMs;
-        boolean mayHaveWaited = !answered && owed.size() == 1 && sinceOpenedMs < openedLagMs;
+        boolean mayHaveWaited = !answered && pending.size() == 1 && sinceOpenedMs < openedLagMs;
         return Math.max(server.lagMs(), mayHaveWaited ? openedLagMs + sinceOpenedMs : 0);
     }
 
-    private void take(FullHttpRequest message, Owed next) {
+    private void submit(FullHttpRequest message, PendingAnswer next) {
         try {
             ClientRequest request = server.parse(message);
             next.id = request.id();
             next.exchange = server.submit(request, unreadMs(), next);
         } catch (RejectedException e) {
-            // Else a client could have the event loop answer all that it sends, thousands of requests in a row.
-            deaf = true;
+            // Otherwise a client could keep the event loop busy with thousands of rejected requests in a row.
+            discarding = true;
             next.keepAlive = false;
             next.answer(response(e.status, e.getMessage().getBytes(StandardCharsets.UTF_8)));
         }
@@ -207,95 +207,96 @@
 
     @Override
     public void userEventTriggered(ChannelHandlerContext context, Object event) throws Exception {
-        if (event == HttpHeaderValues.CONTINUE && owed.isEmpty() && !deaf) {
+        if (event == HttpHeaderValues.CONTINUE && pending.isEmpty() && !discarding) {
             channel.writeAndFlush(response(HttpResponseStatus.CONTINUE, new byte[0]));
         }
         super.userEventTriggered(context, event);
     }
 
-    /** Where the next request begins is not known: the last answer on this connection. */
+    /** Answers with an error and closes: the start of the next request is unknown. */
     private void reject(Throwable cause) {
-        sendsSinceMs = 0;
-        deaf = true;
-        Owed last = new Owed(false);
-        owed.add(last);
+        receivingSinceMs = 0;
+        discarding = true;
+        PendingAnswer last = new PendingAnswer(false);
+        pending.add(last);
         last.answer(response(RequestValidator.status(cause), new byte[0]));
     }
 
     // ---- Answers.
 
     private void flushAnswers() {
-        while (!owed.isEmpty() && owed.peekFirst().response != null) {
-            Owed first = owed.pollFirst();
-            boolean last = !first.keepAlive || owed.isEmpty() && endsWithThisAnswer();
+        while (!pending.isEmpty() && pending.peekFirst().response != null) {
+            PendingAnswer first = pending.pollFirst();
+            boolean last = !first.keepAlive || pending.isEmpty() && closesAfterAnswer();
             answered = true;
-            deaf |= last; // what came behind it would have no answer
+            discarding |= last; // later requests would get no answer
             HttpUtil.setKeepAlive(first.response, !last);
-            writesSinceMs = writing++ == 0 ? server.nowMs() : writesSinceMs;
+            writingSinceMs = pendingWrites++ == 0 ? server.nowMs() : writingSinceMs;
             channel.writeAndFlush(first.response).addListener(out -> {
                 if (out.isSuccess()) {
                     written(last);
                 } else {
-                    close(); // the client would take the next answer for this one
+                    close(); // the client would mistake the next answer for this one
                 }
             });
         }
-        if (owed.isEmpty() && sendsSinceMs == 0) {
-            restsSinceMs = server.nowMs();
+        if (pending.isEmpty() && receivingSinceMs == 0) {
+            idleSinceMs = server.nowMs();
             server.connections().used(this);
         }
-        readWhileThereIsRoom();
+        updateAutoRead();
     }
 
-    private boolean endsWithThisAnswer() {
+    private boolean closesAfterAnswer() {
         return server.closing() || !answered && server.connections().isCrowded();
     }
 
-    private void readWhileThereIsRoom() {
-        channel.config().setAutoRead(drainsSinceMs > 0 || !deaf && owed.size() < MOST_OWED);
+    private void updateAutoRead() {
+        channel.config().setAutoRead(drainingSinceMs > 0 || !discarding && pending.size() < MAX_PENDING);
     }
 
     private void written(boolean last) {
-        writing--;
-        writesSinceMs = writing == 0 ? 0 : server.nowMs();
+        pendingWrites--;
+        writingSinceMs = pendingWrites == 0 ? 0 : server.nowMs();
         if (last) {
-            end();
+            shutdown();
         }
     }
 
-    // ---- The end: whatever it is for, it begins in end(), or behind the last answer. What has been taken is answered
-    // before, unread input is looked for, and what still comes is read: a close over it would be a reset.
+    // ---- Closing. Every graceful close starts in shutdown(), directly or after the last answer. Accepted requests are
+    // answered first, unread input is checked for, and later input is drainedBytes: closing with unread input sends a
+    // reset.
 
-    /** Makes room if it can: it carries nothing, has not for a while, or never has. Returns whether it does. */
-    boolean makeRoom(double nowMs) {
-        boolean ending = drainsSinceMs > 0 && writing == 0;
+    /** Starts or completes the close of a connection that has been idle or silent long enough; returns whether it did. */
+    boolean closeToFreeSocket(double nowMs) {
+        boolean ending = drainingSinceMs > 0 && pendingWrites == 0;
         boolean canGo = ending
-                || carriesNothing()
-                        && (restsSinceMs > 0 && nowMs - restsSinceMs > REST_MS
-                                || silent && nowMs - sendsSinceMs > SILENT_MS);
+                || hasNoWork()
+                        && (idleSinceMs > 0 && nowMs - idleSinceMs > IDLE_MS
+                                || silent && nowMs - receivingSinceMs > SILENT_MS);
         if (!canGo || !channel.isOpenWithoutInput()) {
             return false;
         }
         if (ending) {
             close();
         } else {
-            end();
+            shutdown();
         }
         return true;
     }
 
-    void endIfOverdue(double nowMs) {
+    void closeIfOverdue(double nowMs) {
         if (server.closing()) {
-            endIfIdle(nowMs);
+            closeIfIdle(nowMs);
         }
-        if (drainsSinceMs > 0 && nowMs - drainsSinceMs > DRAIN_MS
-                || writesSinceMs > 0 && nowMs - writesSinceMs > READ_MS) {
+        if (drainingSinceMs > 0 && nowMs - drainingSinceMs > DRAIN_MS
+                || writingSinceMs > 0 && nowMs - writingSinceMs > READ_MS) {
             close();
-        } else if (sendsSinceMs > 0
-                && nowMs - Math.max(sendsSinceMs, server.closingSinceMs()) > requestMs()
-                && isReadUp()) {
+        } else if (receivingSinceMs > 0
+                && nowMs - Math.max(receivingSinceMs, server.closingSinceMs()) > requestMs()
+                && isInputRead()) {
             if (silent) {
-                end();
+                shutdown();
             } else {
                 reject(new RejectedException(HttpResponseStatus.REQUEST_TIMEOUT, "the request did not come in time"));
             }
@@ -303,35 +304,35 @@
     }
 
     private double requestMs() {
-        return server.closing() ? LAST_REQUEST_MS : REQUEST_MS;
+        return server.closing() ? SHUTDOWN_REQUEST_MS : REQUEST_MS;
     }
 
-    /** The clock alone does not tell: what came in time may lie unread for want of processor time. */
-    private boolean isReadUp() {
-        boolean readUp = lookedAgain || channel.isOpenWithoutInput();
-        lookedAgain = true;
-        return readUp;
+    /** Elapsed time alone is not enough: input that arrived in time may be unread for lack of processor time. */
+    private boolean isInputRead() {
+        boolean inputRead = unreadInputChecked || channel.isOpenWithoutInput();
+        unreadInputChecked = true;
+        return inputRead;
     }
 
-    /** One on which a request has begun to come, or may be about to, is not idle: it ends with the answer to that. */
-    void endIfIdle(double nowMs) {
-        boolean begun = sendsSinceMs > 0 && (!silent || nowMs - sendsSinceMs <= SILENT_MS);
-        if (carriesNothing() && !begun && channel.isOpenWithoutInput()) {
-            end();
+    /** A connection that is receiving a request, or may be about to, is not idle: it closes after that answer. */
+    void closeIfIdle(double nowMs) {
+        boolean begun = receivingSinceMs > 0 && (!silent || nowMs - receivingSinceMs <= SILENT_MS);
+        if (hasNoWork() && !begun && channel.isOpenWithoutInput()) {
+            shutdown();
         }
     }
 
-    private boolean carriesNothing() {
-        return owed.isEmpty() && writing == 0 && drainsSinceMs == 0;
+    private boolean hasNoWork() {
+        return pending.isEmpty() && pendingWrites == 0 && drainingSinceMs == 0;
     }
 
-    /** No more is sent from now on; what crosses this is read, but no longer served: its client comes again. */
-    private void end() {
-        deaf = true;
-        sendsSinceMs = 0;
-        restsSinceMs = 0;
-        drainsSinceMs = server.nowMs();
-        readWhileThereIsRoom();
+    /** Stops sending; requests that arrive afterwards are read but not served, and their clients retry. */
+    private void shutdown() {
+        discarding = true;
+        receivingSinceMs = 0;
+        idleSinceMs = 0;
+        drainingSinceMs = server.nowMs();
+        updateAutoRead();
         channel.shutdownOutput();
     }
 
@@ -342,7 +343,7 @@
     @Override
     public void channelInactive(ChannelHandlerContext context) {
         server.connections().closed(this);
-        for (Owed request = owed.poll(); request != null; request = owed.poll()) {
+        for (PendingAnswer request = pending.poll(); request != null; request = pending.poll()) {
             request.release();
             if (request.response != null) {
                 request.response.release();
@@ -354,12 +355,12 @@
 
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-        if (cause instanceof TooLongFrameException && !deaf) {
+        if (cause instanceof TooLongFrameException && !discarding) {
             reject(cause);
             return;
         }
         if (!(cause instanceof IOException || cause instanceof PrematureChannelClosureException)) {
-            LOG.log(System.Logger.Level.ERROR, "a client's connection ends by a defect", cause);
+            LOG.log(System.Logger.Level.ERROR, "closing a client connection after an unexpected error", cause);
         }
         close();
     }
--- a/sidecar/src/main/java/gradehub/node/ClientConnections.java
+++ b/sidecar/src/main/java/gradehub/node/ClientConnections.java
@@ -8,18 +8,18 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Which of the clients' connections stay. Each holds a descriptor: those that say nothing, send without end or do not
- * read are ended in time, and where room is short those at rest too, the longest unused first.
+ * The open client connections. Each holds a descriptor, so connections that stay silent, never complete a request or do
+ * not read are closed after a timeout. When descriptors run short, idle ones are closed too, least recently used first.
  */
 final class ClientConnections {
 
-    /** Of what clients may hold, kept free for those that come. */
-    private static final int SPARE = 32;
+    /** Client sockets kept free for new connections. */
+    private static final int SPARE_SOCKETS = 32;
 
     private final Clock clock;
     private final EventLoopLag lag;
     private final SocketBudget sockets;
-    /** The longest unused first. */
+    /** Least recently used first. */
     private final Set<ClientConnection> connections = new LinkedHashSet<>();
 
     ClientConnections(EventLoop loop, Clock clock, EventLoopLag lag, SocketBudget sockets) {
@@ -27,7 +27,7 @@
         this.lag = lag;
         this.sockets = sockets;
         loop.scheduleWithFixedDelay(
-                () -> GuardedTask.run("looking at clients' connections", this::closeOverdue),
+                () -> GuardedTask.run("closing overdue client connections", this::closeOverdue),
                 EventLoopLag.PERIOD_MS,
                 EventLoopLag.PERIOD_MS,
                 TimeUnit.MILLISECONDS);
@@ -36,7 +36,7 @@
     void opened(ClientConnection connection) {
         connections.add(connection);
         sockets.clientOpened();
-        makeRoom();
+        freeSockets();
     }
 
     void closed(ClientConnection connection) {
@@ -44,7 +44,7 @@
         sockets.clientClosed();
     }
 
-    /** It has been used now. */
+    /** Marks the connection as the most recently used. */
     void used(ClientConnection connection) {
         connections.remove(connection);
         connections.add(connection);
@@ -59,31 +59,32 @@
     }
 
     /**
-     * Whether connections at rest take what requests could use: clients hold more than they may fill with requests.
-     * Then a connection ends with its first answer, since some ask once and stay, and can be closed only after a rest.
-     * It covers whatever makes many new clients at once. Silent ones count: they fill the room as well. It hurts where
-     * all come back soon: each then pays for a new connection, so those that have come back before are spared.
+     * Whether clients hold more connections than they can have open requests, so that idle ones take descriptors from
+     * requests. A connection is then closed after its first answer: some clients send one request and stay connected, and
+     * an idle connection can be closed only after a delay. This covers every cause of many new clients at once. Silent
+     * connections count, since they hold descriptors too. Clients that return soon pay for a new connection, so
+     * connections that have been reused before are exempt.
      */
     boolean isCrowded() {
         return connections.size() > sockets.maxConcurrentRequests();
     }
 
-    /** Ends what is overdue. */
+    /** Closes connections that exceed a timeout, and idle ones when sockets run short. */
     void closeOverdue() {
         lag.sample();
         double nowMs = clock.nowMs();
-        all().forEach(connection -> connection.endIfOverdue(nowMs));
-        makeRoom();
+        all().forEach(connection -> connection.closeIfOverdue(nowMs));
+        freeSockets();
     }
 
-    private void makeRoom() {
-        int wanted = SPARE - sockets.remainingClientSockets();
-        if (wanted <= 0) {
+    private void freeSockets() {
+        int missing = SPARE_SOCKETS - sockets.remainingClientSockets();
+        if (missing <= 0) {
             return;
         }
         double nowMs = clock.nowMs();
         for (ClientConnection connection : all()) {
-            wanted -= wanted > 0 && connection.makeRoom(nowMs) ? 1 : 0;
+            missing -= missing > 0 && connection.closeToFreeSocket(nowMs) ? 1 : 0;
         }
     }
 }
--- a/sidecar/src/main/java/gradehub/node/ClientListener.java
+++ b/sidecar/src/main/java/gradehub/node/ClientListener.java
@@ -11,36 +11,37 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.IntSupplier;
 
-/** Accepts clients on channels that can be looked at, and goes on soon after a failure that passes. */
+/** Listener that accepts clients as {@link ReadAheadChannel}s and resumes shortly after a failed accept. */
 final class ClientListener extends NioServerSocketChannel {
 
-    /** From a failed accept to the next: what failed, as for want of descriptors, fails again at once. */
-    private static final long PAUSE_MS = 10;
+    /** Delay after a failed accept: a lack of descriptors, for example, would make an immediate retry fail again. */
+    private static final long ACCEPT_RETRY_MS = 10;
 
     private final IntSupplier room;
-    private final Runnable resumeTask = this::resume; // made once: it would be linked while clients wait
+    private final Runnable resumeTask =
+            this::resume; // created once: linking it on first use would delay waiting clients
     private final RateLimitedLog failures = new RateLimitedLog();
 
-    private boolean pausing;
-    /** Accepted, but not set up yet because that failed. */
-    private SocketChannel unprepared;
-    /** From when it is registered with an event loop. */
+    private boolean paused;
+    /** Accepted connection whose setup failed and is to be retried. */
+    private SocketChannel pendingSetup;
+    /** Set when the channel is registered with an event loop. */
     private RegistrationMonitor registrationMonitor;
-    /** Whether it accepts though the selector has not told of a client. */
-    private boolean untold;
-    /** Whether a client was accepted though the selector had not told of one. */
-    private boolean foundUntold;
+    /** Whether the current accept was not triggered by the selector. */
+    private boolean checkingUnreported;
+    /** Whether such an accept found a client that the selector had not reported. */
+    private boolean acceptedUnreported;
 
-    /** Accepts as many clients at once as there is {@code room} for. */
+    /** Accepts at most {@code room} clients at once. */
     ClientListener(IntSupplier room) {
         this.room = room;
     }
 
-    /** All that wait are accepted in one go: whoever is left would wait for another turn of the event loop. */
+    /** Accepts all pending clients at once: the others would wait for the next event loop iteration. */
     @Override
     protected int doReadMessages(List<Object> accepted) {
         int before = accepted.size();
-        if (!untold) {
+        if (!checkingUnreported) {
             registrationMonitor.readReadinessReported();
         }
         try {
@@ -49,7 +50,7 @@
             failures.warn("can't accept: " + e.getMessage());
             pause();
         }
-        foundUntold |= untold && accepted.size() > before;
+        acceptedUnreported |= checkingUnreported && accepted.size() > before;
         return accepted.size() - before;
     }
 
@@ -68,57 +69,57 @@
         }
     }
 
-    /** Accepts who waits though the selector has not told of a client. */
+    /** Accepts pending clients that the selector has not reported. */
     private void check(NioIoOps interest) {
-        untold = true;
-        foundUntold = false;
+        checkingUnreported = true;
+        acceptedUnreported = false;
         try {
             unsafe().read();
         } finally {
-            untold = false;
+            checkingUnreported = false;
         }
-        if (foundUntold) {
+        if (acceptedUnreported) {
             registrationMonitor.renew("accepting");
         }
     }
 
     private void accept(List<Object> accepted, int most) throws IOException {
         for (int count = 0; count < most; count++) {
-            if (unprepared == null) {
-                unprepared = javaChannel().accept();
+            if (pendingSetup == null) {
+                pendingSetup = javaChannel().accept();
             }
-            if (unprepared == null) {
+            if (pendingSetup == null) {
                 return;
             }
-            unprepared.configureBlocking(false);
-            SocketChannel client = unprepared;
-            unprepared = null;
+            pendingSetup.configureBlocking(false);
+            SocketChannel client = pendingSetup;
+            pendingSetup = null;
             accepted.add(new ReadAheadChannel(this, client));
         }
     }
 
     private void pause() {
-        pausing = true;
-        acceptWhileThereIsRoom();
-        eventLoop().schedule(resumeTask, PAUSE_MS, TimeUnit.MILLISECONDS);
+        paused = true;
+        updateAccepting();
+        eventLoop().schedule(resumeTask, ACCEPT_RETRY_MS, TimeUnit.MILLISECONDS);
     }
 
     private void resume() {
-        pausing = false;
-        acceptWhileThereIsRoom();
+        paused = false;
+        updateAccepting();
     }
 
-    void acceptWhileThereIsRoom() {
-        boolean accepts = !pausing && room.getAsInt() > 0;
+    void updateAccepting() {
+        boolean accepts = !paused && room.getAsInt() > 0;
         config().setAutoRead(accepts);
-        if (accepts && unprepared != null) {
-            acceptAll(1); // the selector does not tell of one that has been accepted
+        if (accepts && pendingSetup != null) {
+            acceptAll(1); // the selector does not report a connection that is already accepted
         }
     }
 
     /**
-     * Accepts those that wait, up to this many: the listener's close would reset them, and what they have sent. Returns
-     * false where that failed and some may still wait.
+     * Accepts up to {@code most} pending connections: closing the listener would reset them and discard what they have
+     * sent. Returns false if an accept failed, so that some may still be pending.
      */
     boolean acceptAll(int most) {
         boolean accepts = true;
@@ -126,7 +127,7 @@
         try {
             accept(waiting, most);
         } catch (IOException | ChannelException e) {
-            failures.warn("can't accept what waits: " + e.getMessage());
+            failures.warn("can't accept pending connections: " + e.getMessage());
             accepts = false;
             pause();
         }
@@ -138,8 +139,8 @@
 
     @Override
     protected void doClose() throws Exception {
-        if (unprepared != null) {
-            unprepared.close();
+        if (pendingSetup != null) {
+            pendingSetup.close();
         }
         if (registrationMonitor != null) {
             registrationMonitor.closed();
--- a/sidecar/src/main/java/gradehub/node/ClientRequest.java
+++ b/sidecar/src/main/java/gradehub/node/ClientRequest.java
@@ -11,7 +11,7 @@
 import io.netty.handler.codec.http.HttpResponseStatus;
 import java.util.List;
 
-/** What a client asks for, checked; {@code headers} are those that go on to an upstream. */
+/** A validated client request; {@code headers} are those forwarded to an upstream. */
 record ClientRequest(
         String id,
         int requestClass,
@@ -32,8 +32,8 @@
     static final String ESTIMATE_US = "X-Estimate";
     static final String IDEMPOTENCY_KEY = "Idempotency-Key";
     private static final int ID_DIGITS = 16;
-    private static final int MOST_DIGITS = 15;
-    /** They speak of one connection, or are written anew for the next. */
+    private static final int MAX_NUMBER_DIGITS = 15;
+    /** Not forwarded: they apply to one connection, or are set anew for the upstream. */
     private static final List<CharSequence> HOP_BY_HOP = List.of(
             HttpHeaderNames.CONNECTION,
             "Keep-Alive",
@@ -47,7 +47,7 @@
             HttpHeaderNames.EXPECT,
             REMAINING_MS);
 
-    /** A request that no upstream should see; it is answered with this status. */
+    /** A request that is not forwarded to any upstream, but answered with this status. */
     static final class RejectedException extends Exception {
 
         private static final long serialVersionUID = 1L;
@@ -64,7 +64,7 @@
         HttpHeaders headers = message.headers();
         String id = headers.get(ID);
         if (id == null || id.length() != ID_DIGITS || !id.chars().allMatch(c -> Character.digit(c, 16) >= 0)) {
-            throw bad(ID + " is missing, or not " + ID_DIGITS + " hexadecimal digits");
+            throw badRequest(ID + " is missing, or not " + ID_DIGITS + " hexadecimal digits");
         }
         int requestClass = requestClass(message, settings);
         RequestClass spec = settings.classes().get(requestClass);
@@ -80,7 +80,7 @@
                 costMs,
                 message.method(),
                 message.uri(),
-                forwarded(headers),
+                forwardedHeaders(headers),
                 ByteBufUtil.getBytes(message.content()));
     }
 
@@ -94,12 +94,12 @@
     }
 
     private static int requestClass(FullHttpRequest message, Settings settings) throws RejectedException {
-        String inPath = firstPathSegment(message.uri());
-        String name = message.headers().get(CLASS, inPath);
+        String pathClass = firstPathSegment(message.uri());
+        String name = message.headers().get(CLASS, pathClass);
         for (int i = 0; i < settings.classes().size(); i++) {
             if (settings.classes().get(i).name().equals(name)) {
-                if (!name.equals(inPath)) {
-                    throw bad(CLASS + " and the path name different classes");
+                if (!name.equals(pathClass)) {
+                    throw badRequest(CLASS + " and the path name different classes");
                 }
                 return i;
             }
@@ -107,17 +107,17 @@
         throw new RejectedException(HttpResponseStatus.NOT_FOUND, "no such class");
     }
 
-    /** The method says what a second run would do: one that says less than the class would invite a repeat. */
+    /** The method must match the effect of the class: a method of weaker effect would invite repeats of the request. */
     private static void checkMethod(FullHttpRequest message, RequestClass spec) throws RejectedException {
-        HttpMethod wanted = spec.effect() == Effect.SAFE ? HttpMethod.GET : HttpMethod.POST;
-        if (!message.method().equals(wanted)) {
-            throw new RejectedException(HttpResponseStatus.METHOD_NOT_ALLOWED, spec.name() + " wants " + wanted);
+        HttpMethod expected = spec.effect() == Effect.SAFE ? HttpMethod.GET : HttpMethod.POST;
+        if (!message.method().equals(expected)) {
+            throw new RejectedException(HttpResponseStatus.METHOD_NOT_ALLOWED, spec.name() + " wants " + expected);
         }
         if (spec.effect() == Effect.SAFE && message.content().isReadable()) {
-            throw bad(wanted + " has no body");
+            throw badRequest(expected + " has no body");
         }
         if (spec.effect() == Effect.KEYED && !message.headers().contains(IDEMPOTENCY_KEY)) {
-            throw bad(IDEMPOTENCY_KEY + " is missing");
+            throw badRequest(IDEMPOTENCY_KEY + " is missing");
         }
     }
 
@@ -130,18 +130,20 @@
         return 0;
     }
 
-    private static double number(HttpHeaders headers, String name, double otherwise) throws RejectedException {
+    private static double number(HttpHeaders headers, String name, double defaultValue) throws RejectedException {
         String value = headers.get(name);
         if (value == null) {
-            return otherwise;
+            return defaultValue;
         }
-        if (value.isEmpty() || value.length() > MOST_DIGITS || !value.chars().allMatch(c -> c >= '0' && c <= '9')) {
-            throw bad(name + " is no whole number");
+        if (value.isEmpty()
+                || value.length() > MAX_NUMBER_DIGITS
+                || !value.chars().allMatch(c -> c >= '0' && c <= '9')) {
+            throw badRequest(name + " is no whole number");
         }
         return Long.parseLong(value);
     }
 
-    private static HttpHeaders forwarded(HttpHeaders headers) {
+    private static HttpHeaders forwardedHeaders(HttpHeaders headers) {
         HttpHeaders copy = headers.copy();
         headers.getAllAsString(HttpHeaderNames.CONNECTION).forEach(line -> {
             for (String name : line.split(",")) {
@@ -154,7 +156,7 @@
         return copy;
     }
 
-    private static RejectedException bad(String message) {
+    private static RejectedException badRequest(String message) {
         return new RejectedException(HttpResponseStatus.BAD_REQUEST, message);
     }
 }
--- a/sidecar/src/main/java/gradehub/node/ClientServer.java
+++ b/sidecar/src/main/java/gradehub/node/ClientServer.java
@@ -18,7 +18,7 @@
 import java.util.Set;
 import java.util.function.BooleanSupplier;
 
-/** The application's side: accepts connections while there is room, and hands their requests to the engine. */
+/** Server for the application's clients: accepts connections within the socket budget and submits requests to the engine. */
 final class ClientServer {
 
     private static final String READY = "ready";
@@ -29,14 +29,14 @@
     private final Settings settings;
     private final Engine engine;
     private final SocketBudget sockets;
-    private final BooleanSupplier hasList;
+    private final BooleanSupplier hasUpstreamList;
     private final ClientConnections connections;
     private final EventLoopLag lag;
-    /** The identifiers of the requests that have no answer yet. */
-    private final Set<String> ids = new HashSet<>();
+    /** Identifiers of the requests that have not been answered yet. */
+    private final Set<String> openRequestIds = new HashSet<>();
 
     private ClientListener listener;
-    /** Since when each answer is the last on its connection; 0 where it is not. */
+    /** When the server began to close connections after their current answer; 0 before that. */
     private double closingSinceMs;
 
     ClientServer(
@@ -45,16 +45,16 @@
             Settings settings,
             Engine engine,
             SocketBudget sockets,
-            BooleanSupplier hasList) {
+            BooleanSupplier hasUpstreamList) {
         this.loop = loop;
         this.clock = clock;
         this.settings = settings;
         this.engine = engine;
         this.sockets = sockets;
-        this.hasList = hasList;
+        this.hasUpstreamList = hasUpstreamList;
         lag = new EventLoopLag(loop, clock);
         connections = new ClientConnections(loop, clock, lag, sockets);
-        sockets.onChange(this::acceptWhileThereIsRoom);
+        sockets.onChange(this::updateAccepting);
     }
 
     ChannelFuture bind(InetSocketAddress address) {
@@ -74,7 +74,7 @@
                                         new RequestDecoder(connection),
                                         new HttpResponseEncoder(),
                                         new RequestValidator(),
-                                        RequestValidator.joining(),
+                                        RequestValidator.aggregator(),
                                         connection);
                     }
                 })
@@ -87,20 +87,22 @@
         return bound;
     }
 
-    /** Else more would be accepted than there is room for. */
+    /** Accepts one connection per read, since a batch could exceed the socket budget. */
     private static RecvByteBufAllocator acceptOnePerRead() {
         return new ServerChannelRecvByteBufAllocator().maxMessagesPerRead(1);
     }
 
-    /** From now on each connection ends with its answer, and those that carry nothing end at once. */
+    /** Closes idle connections now, and every other connection after its current answer. */
     void endConnections() {
         if (!closing()) {
             closingSinceMs = clock.nowMs();
         }
-        connections.all().forEach(connection -> connection.endIfIdle(clock.nowMs()));
+        connections.all().forEach(connection -> connection.closeIfIdle(clock.nowMs()));
     }
 
-    /** By now new connections no longer come. Lets in those that wait; returns false where some may still wait. */
+    /**
+     * Accepts the connections pending in the backlog once no new ones arrive. Returns false if some may still be pending.
+     */
     boolean acceptPending() {
         return listener == null || listener.acceptAll(sockets.remainingClientSockets());
     }
@@ -119,13 +121,13 @@
         connections.closeOverdue();
     }
 
-    private void acceptWhileThereIsRoom() {
+    private void updateAccepting() {
         if (listener != null) {
-            listener.acceptWhileThereIsRoom();
+            listener.updateAccepting();
         }
     }
 
-    // ---- For the connections.
+    // ---- Called by the connections.
 
     double nowMs() {
         return clock.nowMs();
@@ -144,7 +146,7 @@
     }
 
     boolean ready() {
-        return hasList.getAsBoolean();
+        return hasUpstreamList.getAsBoolean();
     }
 
     boolean isReadinessCheck(FullHttpRequest message) {
@@ -154,19 +156,19 @@
 
     ClientRequest parse(FullHttpRequest message) throws RejectedException {
         ClientRequest request = ClientRequest.of(message, settings);
-        if (!ids.add(request.id())) {
-            // It is another's: were both sent on, neither client could tell which answer is its own.
+        if (!openRequestIds.add(request.id())) {
+            // With two open requests of one identifier, neither client could tell which answer is its own.
             throw new RejectedException(HttpResponseStatus.CONFLICT, "a request of this identifier is open");
         }
         return request;
     }
 
-    /** How long input that is read now may have waited for the event loop. */
+    /** Upper bound on how long input read now has waited for the event loop. */
     double lagMs() {
         return lag.lagMs();
     }
 
-    /** Takes a request that may have waited for this long before it was read. */
+    /** Submits a request that may have waited for {@code unreadMs} before it was read. */
     Engine.Exchange submit(ClientRequest request, double unreadMs, Engine.Client client) {
         return engine.request(request, unreadMs, client);
     }
@@ -176,6 +178,6 @@
     }
 
     void releaseId(String id) {
-        ids.remove(id);
+        openRequestIds.remove(id);
     }
 }
--- a/sidecar/src/main/java/gradehub/node/RequestDecoder.java
+++ b/sidecar/src/main/java/gradehub/node/RequestDecoder.java
@@ -7,16 +7,16 @@
 import io.netty.handler.codec.http.HttpRequestDecoder;
 import java.util.List;
 
-/** Reads requests, strictly: what could be read in two ways might hide another request. Tells when input comes. */
+/** Strict request decoder: ambiguous input could smuggle a second request. Reports input to the connection. */
 final class RequestDecoder extends HttpRequestDecoder {
 
-    /** Told of each piece of input, and at the end of a read whether the beginning of a request is left over. */
+    /** Notified of each piece of input, and after a read that leaves an incomplete request. */
     interface Input {
-        void came(int bytes);
+        void received(int bytes);
 
-        void unfinished();
+        void requestIncomplete();
 
-        /** Whether the connection reads no more requests, so that what comes is dropped without being decoded. */
+        /** Whether the connection reads no more requests, so that input is dropped without being decoded. */
         boolean isDiscarding();
     }
 
@@ -29,11 +29,11 @@
 
     @Override
     public void channelRead(ChannelHandlerContext context, Object message) throws Exception {
-        input.came(((ByteBuf) message).readableBytes());
+        input.received(((ByteBuf) message).readableBytes());
         super.channelRead(context, message);
     }
 
-    /** Called for each message in turn: the one before may have ended the reading of requests. */
+    /** Called for each message in turn, since the previous one may have stopped the reading of requests. */
     @Override
     protected void decode(ChannelHandlerContext context, ByteBuf buffer, List<Object> out) throws Exception {
         if (input.isDiscarding()) {
@@ -46,12 +46,12 @@
     @Override
     public void channelReadComplete(ChannelHandlerContext context) throws Exception {
         if (actualReadableBytes() > 0) {
-            input.unfinished();
+            input.requestIncomplete();
         }
         super.channelReadComplete(context);
     }
 
-    /** The one length or the other would be wrong, and the rest of the body a request to whoever believes it. */
+    /** One of the two lengths is wrong, and a peer that trusts it would read the rest of the body as a request. */
     @Override
     protected void handleTransferEncodingChunkedWithContentLength(HttpMessage message) {
         throw new IllegalArgumentException("both Content-Length and Transfer-Encoding");
--- a/sidecar/src/main/java/gradehub/node/RequestValidator.java
+++ b/sidecar/src/main/java/gradehub/node/RequestValidator.java
@@ -19,13 +19,13 @@
 import java.util.List;
 
 /**
- * Checks the head of a request before its body is read. One that fails is marked as undecodable, and so ends its
- * connection: nothing behind it is read as a request.
+ * Validates the head of a request before its body is read. An invalid request is marked as a decoding failure, which
+ * closes its connection: nothing after it is read as a request.
  */
 final class RequestValidator extends ChannelInboundHandlerAdapter {
 
-    /** Each says one thing to the sidecar: said twice, an upstream might believe the other one. */
-    private static final List<CharSequence> ONCE = List.of(
+    /** Headers that must not be repeated: an upstream might use the other value than the sidecar. */
+    private static final List<CharSequence> SINGLE_VALUE_HEADERS = List.of(
             HttpHeaderNames.HOST,
             HttpHeaderNames.CONTENT_LENGTH,
             HttpHeaderNames.TRANSFER_ENCODING,
@@ -40,8 +40,8 @@
     public void channelRead(ChannelHandlerContext context, Object message) {
         if (message instanceof HttpRequest request && request.decoderResult().isSuccess()) {
             try {
-                expect(context, request);
-                check(request);
+                handleExpect(context, request);
+                validate(request);
             } catch (RejectedException e) {
                 request.setDecoderResult(DecoderResult.failure(e));
             }
@@ -49,9 +49,9 @@
         context.fireChannelRead(message);
     }
 
-    private static void check(HttpRequest request) throws RejectedException {
+    private static void validate(HttpRequest request) throws RejectedException {
         HttpHeaders headers = request.headers();
-        for (CharSequence name : ONCE) {
+        for (CharSequence name : SINGLE_VALUE_HEADERS) {
             if (headers.getAll(name).size() > 1) {
                 throw new RejectedException(HttpResponseStatus.BAD_REQUEST, name + " is repeated");
             }
@@ -66,8 +66,8 @@
         }
     }
 
-    /** The header goes: whoever joins the parts would answer it past the answers that are owed. */
-    private static void expect(ChannelHandlerContext context, HttpRequest request) throws RejectedException {
+    /** Removes the header: the aggregator would answer it ahead of the answers still pending. */
+    private static void handleExpect(ChannelHandlerContext context, HttpRequest request) throws RejectedException {
         boolean canContinue = HttpUtil.is100ContinueExpected(request);
         boolean expects = request.headers().contains(HttpHeaderNames.EXPECT);
         request.headers().remove(HttpHeaderNames.EXPECT);
@@ -78,8 +78,8 @@
         }
     }
 
-    /** Joins the parts of a request; what grows too long on the way goes on as an error, in its turn. */
-    static HttpObjectAggregator joining() {
+    /** Aggregates the parts of a request; a body that grows too long becomes an error, answered in request order. */
+    static HttpObjectAggregator aggregator() {
         return new HttpObjectAggregator(Upstreams.MOST_BODY_BYTES) {
             @Override
             protected void handleOversizedMessage(ChannelHandlerContext context, HttpMessage oversized) {
@@ -88,7 +88,7 @@
         };
     }
 
-    /** What a request that could not be read is answered. */
+    /** The status that answers a request that could not be decoded. */
     static HttpResponseStatus status(Throwable cause) {
         if (cause instanceof RejectedException rejected) {
             return rejected.status;
--- a/sidecar/src/main/java/gradehub/node/Sidecar.java
+++ b/sidecar/src/main/java/gradehub/node/Sidecar.java
@@ -29,7 +29,7 @@
     private static final long LISTENER_CLOSE_DELAY_MS = 100;
     /** Wait with no request in flight: for a partly read request, for its answer to be read, and for checking both. */
     private static final long CONNECTION_DRAIN_MS =
-            (long) (ClientConnection.LAST_REQUEST_MS + ClientConnection.DRAIN_MS) + 200;
+            (long) (ClientConnection.SHUTDOWN_REQUEST_MS + ClientConnection.DRAIN_MS) + 200;
 
     private static final long POLL_MS = 10;
     /** Limit on attempts, {@link #POLL_MS} apart, to accept pending connections before the listener closes. */
--- a/sidecar/src/main/java/gradehub/node/SocketBudget.java
+++ b/sidecar/src/main/java/gradehub/node/SocketBudget.java
@@ -1,46 +1,46 @@
 package gradehub.node;
 
 /**
- * Counts the sockets that are open against the limit, with room left for what the runtime itself holds. Clients and
- * upstreams each have a part that the other can't take: either is of no use without the other.
+ * Counts open sockets against the descriptor limit, less a reserve for the runtime. Clients and upstreams each have a
+ * portion that the other can't use, because a request needs both.
  */
 final class SocketBudget {
 
-    /** Descriptors of the runtime, of the listener and of discovery: some 30 are held in service. */
+    /** For the runtime, the listener and discovery, which hold some 30 descriptors in service. */
     static final int RESERVED_DESCRIPTORS = 44;
-    /** Clients may fill a third of all descriptors with requests: as many are kept for them. */
-    private static final int KEPT_PART = 3;
-    /** What clients may hold together with those that rest or say nothing, of the room there is. */
-    private static final double CLIENTS_PART = 0.55;
+    /** Clients may have requests open on a third of all descriptors, which are reserved for them. */
+    private static final int RESERVED_FOR_CLIENTS_DIVISOR = 3;
+    /** Fraction of the available sockets that clients may hold, including idle and silent connections. */
+    private static final double MAX_CLIENT_FRACTION = 0.55;
 
-    private final int most;
-    private final int keptForClients;
+    private final int maxSockets;
+    private final int reservedForClients;
     private int clients;
     private int upstreams;
     private Runnable onChange = () -> {};
 
     SocketBudget(int descriptors) {
-        most = descriptors - RESERVED_DESCRIPTORS;
-        keptForClients = Math.min(descriptors / KEPT_PART, most / 2);
+        maxSockets = descriptors - RESERVED_DESCRIPTORS;
+        reservedForClients = Math.min(descriptors / RESERVED_FOR_CLIENTS_DIVISOR, maxSockets / 2);
     }
 
-    /** Called each time a socket opens or closes. */
+    /** Sets the action to run each time a socket opens or closes. */
     void onChange(Runnable action) {
         onChange = action;
     }
 
     /** How many more clients may connect. */
     int remainingClientSockets() {
-        return Math.min((int) (CLIENTS_PART * most), most - upstreams) - clients;
+        return Math.min((int) (MAX_CLIENT_FRACTION * maxSockets), maxSockets - upstreams) - clients;
     }
 
-    /** How many requests clients can have open at once, a connection to each. */
+    /** How many requests clients can have open at once, with one connection each. */
     int maxConcurrentRequests() {
-        return keptForClients;
+        return reservedForClients;
     }
 
     boolean canOpenUpstream() {
-        return upstreams < most - keptForClients && clients + upstreams < most;
+        return upstreams < maxSockets - reservedForClients && clients + upstreams < maxSockets;
     }
 
     void clientOpened() {
