--- a/sidecar/src/test/java/gradehub/node/ClientCloseTest.java
+++ b/sidecar/src/test/java/gradehub/node/ClientCloseTest.java
@@ -11,12 +11,12 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** A client's connection that the sidecar ends just as a request comes, read late because the event loop is held. */
+/** The sidecar closes a client connection while a request arrives that a blocked event loop reads late. */
 class ClientCloseTest {
 
     private static final String READY = "GET /ready HTTP/1.1\r\n\r\n";
-    private static final int REQUEST_MS = 2200; // more than a request's bytes are waited for
-    private static final int REST_MS = 2000; // more than a connection may rest where room is short
+    private static final int REQUEST_MS = 2200; // the limit for receiving a request
+    private static final int IDLE_MS = 2000; // the idle limit when sockets run short
 
     private SidecarFixture fixture;
     private ServerSocket upstream;
@@ -51,69 +51,69 @@
         assertEquals(id, client.read().body());
     }
 
-    private static void pass(long ms) {
+    private static void spin(long ms) {
         long startNanos = System.nanoTime();
         while (System.nanoTime() - startNanos < TimeUnit.MILLISECONDS.toNanos(ms)) {
             Thread.onSpinWait();
         }
     }
 
-    /** The look at what is overdue comes before the read of what has come meanwhile. */
-    private void lookAfter(long ms, RawConnection client, String request) throws Throwable {
+    /** Runs the check for overdue connections before the input that has arrived meanwhile is read. */
+    private void closeOverdueAfter(long ms, RawConnection client, String request) throws Throwable {
         fixture.whileEventLoopBlocked(() -> {
-            pass(ms);
+            spin(ms);
             fixture.sidecar().loop().execute(fixture.sidecar()::closeOverdueClients);
             client.send(request);
         });
     }
 
     @Test
-    void aRequestThatHasComeWholeIsNotTurnedDownAsSlow() throws Throwable {
+    void completeRequestIsNotRejectedAsSlow() throws Throwable {
         start(1024);
         String request = SidecarFixture.postRequest(SidecarFixture.requestId(1), "body");
         try (RawConnection client = fixture.client();
                 RawConnection later = fixture.client()) {
             client.send(request.substring(0, request.length() - 2));
-            later.send(READY).read(); // by now the first part has been read
-            lookAfter(REQUEST_MS + 100, client, request.substring(request.length() - 2));
+            later.send(READY).read(); // the first part has been read by now
+            closeOverdueAfter(REQUEST_MS + 100, client, request.substring(request.length() - 2));
             assertServed(SidecarFixture.requestId(1), client);
         }
     }
 
     @Test
-    void aConnectionWithAnUnreadRequestIsNotTakenForSilent() throws Throwable {
+    void connectionWithUnreadRequestIsNotTreatedAsSilent() throws Throwable {
         start(1024);
         try (RawConnection client = fixture.client()) {
             fixture.awaitOnEventLoop(() -> fixture.sidecar().clients() == 1);
-            lookAfter(REQUEST_MS + 100, client, SidecarFixture.postRequest(SidecarFixture.requestId(1), "x"));
+            closeOverdueAfter(REQUEST_MS + 100, client, SidecarFixture.postRequest(SidecarFixture.requestId(1), "x"));
             assertServed(SidecarFixture.requestId(1), client);
         }
     }
 
-    /** Room is always short here: less than what is kept free for those that come. */
+    /** Sockets are always short here: fewer than those kept free for new connections. */
     @Test
-    void aRestingConnectionWithAnUnreadRequestMakesNoRoom() throws Throwable {
+    void idleConnectionWithUnreadRequestIsNotClosed() throws Throwable {
         start(SocketBudget.RESERVED_DESCRIPTORS + 16);
         try (RawConnection client = ready()) {
-            lookAfter(REST_MS + 100, client, SidecarFixture.postRequest(SidecarFixture.requestId(1), "x"));
+            closeOverdueAfter(IDLE_MS + 100, client, SidecarFixture.postRequest(SidecarFixture.requestId(1), "x"));
             assertServed(SidecarFixture.requestId(1), client);
         }
     }
 
-    /** Whoever has just connected is about to ask: the sidecar ends, and takes nothing for an idle one too early. */
+    /** A new connection is about to send a request, so shutdown must not treat it as idle too early. */
     @Test
-    void aNewConnectionIsNotEndedBeforeItsRequestComes() throws Throwable {
+    void newConnectionIsNotClosedBeforeItsRequestArrives() throws Throwable {
         start(1024);
         try (RawConnection client = fixture.client()) {
             fixture.whileEventLoopBlocked(() -> {
                 fixture.sidecar().loop().execute(fixture.sidecar()::endConnections);
-                fixture.sidecar().loop().execute(() -> sendsItself(client));
+                fixture.sidecar().loop().execute(() -> sendRequest(client));
             });
             assertServed(SidecarFixture.requestId(1), client);
         }
     }
 
-    private static void sendsItself(RawConnection client) {
+    private static void sendRequest(RawConnection client) {
         try {
             client.send(SidecarFixture.postRequest(SidecarFixture.requestId(1), "x"));
         } catch (IOException e) {
@@ -121,9 +121,9 @@
         }
     }
 
-    /** In its backlog lie connections with whole requests: to close it would reset them. */
+    /** The backlog holds connections with complete requests, which closing the listener would reset. */
     @Test
-    void whoWaitsAsTheListenerClosesIsServed() throws Throwable {
+    void pendingConnectionsAreServedWhenTheListenerCloses() throws Throwable {
         start(1024);
         ready().close();
         RawConnection[] clients = new RawConnection[3];
@@ -144,15 +144,15 @@
         }
     }
 
-    /** The client hears of the end before its connection is closed: what it sends meanwhile is read, not reset. */
+    /** Output is shut down before the close, so that what the client still sends is read rather than reset. */
     @Test
-    void anIdleConnectionIsShutBeforeItIsClosed() throws Throwable {
+    void idleConnectionShutsDownOutputBeforeClosing() throws Throwable {
         start(1024);
         CompletableFuture<Integer> open = new CompletableFuture<>();
         try (RawConnection client = ready()) {
             fixture.whileEventLoopBlocked(() -> {
                 fixture.sidecar().loop().execute(fixture.sidecar()::endConnections);
-                // A close is told of by a task of its own: the count comes behind that.
+                // A close is reported by a separate task; the count is taken after it.
                 fixture.sidecar()
                         .loop()
                         .execute(() -> fixture.sidecar()
--- a/sidecar/src/test/java/gradehub/node/DescriptorExhaustionTest.java
+++ b/sidecar/src/test/java/gradehub/node/DescriptorExhaustionTest.java
@@ -11,12 +11,12 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Descriptors that have run out: whatever could not be opened for want of one, and nothing else, has failed. */
+/** When descriptors run out, only the operations that could not open a socket fail. */
 class DescriptorExhaustionTest {
 
     private SidecarFixture fixture;
     private ServerSocket upstream;
-    private final AtomicBoolean out = new AtomicBoolean();
+    private final AtomicBoolean exhausted = new AtomicBoolean();
 
     @BeforeEach
     void open() throws Exception {
@@ -29,8 +29,8 @@
         fixture.close();
     }
 
-    private ReadAheadChannel opened() {
-        if (out.get()) {
+    private ReadAheadChannel openChannel() {
+        if (exhausted.get()) {
             throw new ChannelException("Failed to open a socket.");
         }
         return new ReadAheadChannel();
@@ -41,45 +41,45 @@
     }
 
     @Test
-    void aWatchThatFindsNoSocketIsTriedAgain() throws Exception {
-        fixture.start(list(), this::opened);
+    void watchWithoutSocketIsRetried() throws Exception {
+        fixture.start(list(), this::openChannel);
         RawConnection watch = fixture.acceptWatch();
-        out.set(true);
+        exhausted.set(true);
         watch.close();
-        fixture.awaitOnEventLoop(() -> fixture.sidecar().watchPauseMs() > 0); // the first try has found none
-        out.set(false);
+        fixture.awaitOnEventLoop(() -> fixture.sidecar().watchPauseMs() > 0); // the first attempt found no descriptor
+        exhausted.set(false);
         SidecarFixture.accept(fixture.discovery).read();
         fixture.assertServed(1, upstream);
     }
 
     @Test
-    void anAttemptThatFindsNoSocketHasFailedAndNothingElse() throws Exception {
-        fixture.start(list(), this::opened);
+    void onlyTheAttemptWithoutSocketFails() throws Exception {
+        fixture.start(list(), this::openChannel);
         fixture.acceptWatch();
-        out.set(true);
+        exhausted.set(true);
         try (RawConnection client = fixture.client()) {
             client.send(SidecarFixture.postRequest(SidecarFixture.requestId(1), "x"));
             assertEquals(503, client.read().status(), "it never ran: coming again is harmless");
         }
-        out.set(false);
+        exhausted.set(false);
         fixture.assertServed(2, upstream);
     }
 
-    /** Clients that say nothing more hold all that they may: discovery and upstreams have their own part. */
+    /** Idle clients hold all their sockets; discovery and upstreams have a separate portion. */
     @Test
-    void clientsThatRestTakeNoSocketFromDiscoveryOrUpstreams() throws Exception {
+    void idleClientsTakeNoSocketFromDiscoveryOrUpstreams() throws Exception {
         int room = 20;
         fixture.start(list(), SocketBudget.RESERVED_DESCRIPTORS + room);
         RawConnection watch = fixture.acceptWatch();
-        List<RawConnection> resting = new ArrayList<>();
+        List<RawConnection> idleClients = new ArrayList<>();
         for (int i = 0; i < room; i++) {
-            resting.add(fixture.client());
+            idleClients.add(fixture.client());
         }
         fixture.awaitOnEventLoop(() -> fixture.sidecar().clients() >= room / 2);
         watch.close();
         SidecarFixture.accept(fixture.discovery).read();
         fixture.assertServed(1, upstream);
-        for (RawConnection client : resting) {
+        for (RawConnection client : idleClients) {
             client.close();
         }
     }
--- a/sidecar/src/test/java/gradehub/node/InvalidRequestTest.java
+++ b/sidecar/src/test/java/gradehub/node/InvalidRequestTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Clients that send what can't be read, or nothing: an error or a close for them, and nothing for any upstream. */
+/** Clients that send invalid or incomplete requests, or nothing, get an error or a close; nothing reaches an upstream. */
 class InvalidRequestTest {
 
     private SidecarFixture fixture;
@@ -29,7 +29,7 @@
         fixture.close();
     }
 
-    /** Where its end could be read in two ways a request may hide another: the connection ends with the error. */
+    /** A request of ambiguous length could smuggle a second one, so the connection closes after the error. */
     @ParameterizedTest
     @CsvSource({
         "Transfer-Encoding: chunked,400",
@@ -42,7 +42,7 @@
         "X-Remaining-Ms: 5,400",
         "Expect: a miracle,417"
     })
-    void aRequestThatCouldBeReadInTwoWaysGoesNowhere(String header, int status) throws Exception {
+    void ambiguousRequestIsNotForwarded(String header, int status) throws Exception {
         fixture.start(list);
         try (RawConnection client = fixture.client()) {
             client.send(
@@ -51,7 +51,7 @@
             assertEquals(status, client.read().status());
             assertTrue(client.awaitClose());
         }
-        onlyTheGoodOneComes();
+        assertOnlyValidRequestIsForwarded();
     }
 
     @ParameterizedTest
@@ -63,7 +63,7 @@
         "Content-Length: -4",
         "Content-Length: ten"
     })
-    void aFigureThatIsNoneGoesNowhere(String header) throws Exception {
+    void requestWithInvalidNumberIsNotForwarded(String header) throws Exception {
         fixture.start(list);
         String name = header.substring(0, header.indexOf(':'));
         try (RawConnection client = fixture.client()) {
@@ -71,10 +71,10 @@
                     .replaceAll(name + ": [^\r]*", header.replace("''", "")));
             assertEquals(400, client.read().status());
         }
-        onlyTheGoodOneComes();
+        assertOnlyValidRequestIsForwarded();
     }
 
-    private void onlyTheGoodOneComes() throws Exception {
+    private void assertOnlyValidRequestIsForwarded() throws Exception {
         try (RawConnection client = fixture.client()) {
             client.send(SidecarFixture.getRequest(SidecarFixture.requestId(7)));
             assertEquals(
@@ -84,9 +84,9 @@
         }
     }
 
-    /** Two answers would come for one identifier, and neither client could tell which is its own. */
+    /** With two answers for one identifier neither client could tell which is its own. */
     @Test
-    void theIdentifierOfAnOpenRequestIsTurnedDown() throws Exception {
+    void identifierOfAnOpenRequestIsRejected() throws Exception {
         fixture.start(list);
         try (RawConnection client = fixture.client();
                 RawConnection other = fixture.client()) {
@@ -103,9 +103,9 @@
         }
     }
 
-    /** The error of a body that is too long comes behind the answer of the request before it, and whole. */
+    /** The error for an oversized body follows the previous request's answer and is not lost to a connection reset. */
     @Test
-    void anErrorKeepsItsPlaceAndIsNotDestroyedByTheClose() throws Exception {
+    void errorIsSentInOrderAndSurvivesTheClose() throws Exception {
         fixture.start(list);
         try (RawConnection client = fixture.client()) {
             client.send(SidecarFixture.getRequest(SidecarFixture.requestId(1))
@@ -122,7 +122,7 @@
     }
 
     @Test
-    void aChunkedBodyThatGrowsTooLongIsTurnedDown() throws Exception {
+    void oversizedChunkedBodyIsRejected() throws Exception {
         fixture.start(list);
         try (RawConnection client = fixture.client()) {
             client.send(SidecarFixture.postRequest(SidecarFixture.requestId(1), "")
@@ -133,7 +133,7 @@
     }
 
     @Test
-    void aRequestWithoutEndIsTurnedDownInTime() throws Exception {
+    void incompleteRequestTimesOut() throws Exception {
         fixture.start(list);
         try (RawConnection silent = fixture.client();
                 RawConnection slow = fixture.client();
@@ -151,16 +151,16 @@
         }
     }
 
-    /** Hundreds at once would be held in memory until each has its turn. */
+    /** Hundreds of pipelined requests would be held in memory until each is processed. */
     @Test
-    void aCrowdOfRequestsOnOneConnectionIsTurnedDown() throws Exception {
+    void tooManyPipelinedRequestsAreRejected() throws Exception {
         fixture.start(list);
         try (RawConnection client = fixture.client()) {
-            StringBuilder crowd = new StringBuilder();
+            StringBuilder requests = new StringBuilder();
             for (int i = 0; i < 20; i++) {
-                crowd.append(SidecarFixture.getRequest(SidecarFixture.requestId(i)));
+                requests.append(SidecarFixture.getRequest(SidecarFixture.requestId(i)));
             }
-            client.send(crowd.toString());
+            client.send(requests.toString());
             RawConnection up = SidecarFixture.accept(upstream);
             up.read();
             up.send(SidecarFixture.answer("400 Bad Request", ""));
@@ -168,10 +168,10 @@
         }
     }
 
-    /** The event loop would answer all of them in one go, and nobody else meanwhile. */
+    /** Answering all of them would keep the event loop from serving other clients. */
     @ParameterizedTest
     @CsvSource({"unheard-of,404", "window-read,405"})
-    void aFloodOfRequestsThatAreTurnedDownGetsOneAnswer(String path, int status) throws Exception {
+    void repeatedRejectedRequestsGetOneAnswer(String path, int status) throws Exception {
         fixture.start(list);
         try (RawConnection client = fixture.client()) {
             String request = SidecarFixture.postRequest(SidecarFixture.requestId(1), "")
@@ -182,12 +182,12 @@
             assertEquals("close", answer.header("Connection"));
             assertTrue(client.awaitClose());
         }
-        onlyTheGoodOneComes();
+        assertOnlyValidRequestIsForwarded();
     }
 
-    /** Clients that asked once and stay must not keep others out. */
+    /** Clients that send one request and stay connected must not keep others out. */
     @Test
-    void whereRoomIsShortAConnectionAtRestIsClosed() throws Exception {
+    void idleConnectionIsClosedWhenSocketsRunShort() throws Exception {
         fixture.start(list, SocketBudget.RESERVED_DESCRIPTORS + 8);
         try (RawConnection client = fixture.client()) {
             client.send(SidecarFixture.getRequest(SidecarFixture.requestId(1)));
--- a/sidecar/src/test/java/gradehub/node/LateReadTest.java
+++ b/sidecar/src/test/java/gradehub/node/LateReadTest.java
@@ -11,13 +11,13 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Requests that come while the event loop stands still: the time that they wait unread is the client's time. */
+/** Requests that arrive while the event loop is blocked: the time they wait unread counts against their deadline. */
 class LateReadTest {
 
     private static final String READY = "GET /ready HTTP/1.1\r\n\r\n";
     private static final int STALL_MS = 1700;
-    private static final int SHORT_MS = 1500; // over by the end of the stall; enough to be sent on if it were not
-    private static final int LONG_MS = 10_000; // under the aim of the class, which bounds it as well
+    private static final int SHORT_MS = 1500; // expires during the stall; would be forwarded if the wait did not count
+    private static final int LONG_MS = 10_000; // below the latency goal of the class, which is also a bound
 
     private SidecarFixture fixture;
     private ServerSocket upstream;
@@ -47,8 +47,8 @@
         }
     }
 
-    /** The first that the upstream sees comes behind the ones that were over. */
-    private void assertNoneIsSentOn() throws Exception {
+    /** The first request at the upstream is one sent after the expired ones. */
+    private void assertNoneIsForwarded() throws Exception {
         try (RawConnection later = fixture.client()) {
             later.send(request(99, LONG_MS));
             assertEquals(
@@ -58,7 +58,7 @@
     }
 
     @Test
-    void aRequestWhoseTimeIsOverWhenItIsReadIsRefusedAtOnce() throws Throwable {
+    void requestExpiredBeforeItIsReadIsRefusedAtOnce() throws Throwable {
         try (RawConnection client = fixture.client()) {
             client.send(READY).read();
             fixture.whileEventLoopBlocked(() -> {
@@ -67,12 +67,12 @@
             });
             assertEquals(503, client.read().status());
         }
-        assertNoneIsSentOn();
+        assertNoneIsForwarded();
     }
 
-    /** The periodic task runs behind the one that stalled, and only then the sockets are read. */
+    /** The periodic task runs after the stalled one, before the sockets are read. */
     @Test
-    void theLagIsRememberedUntilTheSocketsHaveBeenRead() throws Throwable {
+    void lagIsKeptUntilTheSocketsHaveBeenRead() throws Throwable {
         try (RawConnection client = fixture.client()) {
             client.send(READY).read();
             fixture.whileEventLoopBlocked(() -> {
@@ -82,11 +82,11 @@
             });
             assertEquals(503, client.read().status());
         }
-        assertNoneIsSentOn();
+        assertNoneIsForwarded();
     }
 
     @Test
-    void theWaitToBeAcceptedCountsForEachOfManyClients() throws Throwable {
+    void waitBeforeAcceptCountsForEveryClient() throws Throwable {
         List<RawConnection> clients = new ArrayList<>();
         fixture.whileEventLoopBlocked(() -> {
             for (int i = 0; i < 10; i++) {
@@ -98,31 +98,31 @@
             assertEquals(503, client.read().status());
             client.close();
         }
-        assertNoneIsSentOn();
+        assertNoneIsForwarded();
     }
 
     @Test
-    void anUpstreamIsToldWhatIsLeftToTheClient() throws Throwable {
+    void upstreamReceivesTheRemainingTime() throws Throwable {
         try (RawConnection client = fixture.client()) {
             client.send(READY).read();
             fixture.whileEventLoopBlocked(() -> {
                 client.send(request(1, LONG_MS));
                 stall();
             });
-            int toldMs = Integer.parseInt(SidecarFixture.accept(upstream).read().header("X-Remaining-Ms"));
-            assertTrue(toldMs <= LONG_MS - SHORT_MS, "told " + toldMs + " ms");
+            int receivedMs = Integer.parseInt(SidecarFixture.accept(upstream).read().header("X-Remaining-Ms"));
+            assertTrue(receivedMs <= LONG_MS - SHORT_MS, "told " + receivedMs + " ms");
         }
     }
 
-    /** Once the sockets have been read a lag is over: what comes later has not waited. */
+    /** The lag ends once the sockets have been read; later requests have not waited. */
     @Test
-    void whatComesAfterAStallHasItsWholeTime() throws Throwable {
+    void requestAfterAStallHasItsFullTime() throws Throwable {
         fixture.whileEventLoopBlocked(LateReadTest::stall);
         fixture.awaitOnEventLoop(() -> fixture.sidecar().lagMs() == 0);
         try (RawConnection client = fixture.client()) {
             client.send(request(1, LONG_MS));
-            int toldMs = Integer.parseInt(SidecarFixture.accept(upstream).read().header("X-Remaining-Ms"));
-            assertTrue(toldMs > LONG_MS - SHORT_MS, "told " + toldMs + " ms");
+            int receivedMs = Integer.parseInt(SidecarFixture.accept(upstream).read().header("X-Remaining-Ms"));
+            assertTrue(receivedMs > LONG_MS - SHORT_MS, "told " + receivedMs + " ms");
         }
     }
 }
--- a/sidecar/src/test/java/gradehub/node/SidecarTest.java
+++ b/sidecar/src/test/java/gradehub/node/SidecarTest.java
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void aRequestGoesOnUnchangedAndItsAnswerComesBack() throws Exception {
+    void requestIsForwardedUnchangedAndItsAnswerReturned() throws Exception {
         try (RawConnection client = startWithOne()) {
             client.send(SidecarFixture.postRequest(SidecarFixture.requestId(1), "payload"));
             RawConnection up = SidecarFixture.accept(upstream);
@@ -55,7 +55,7 @@
     }
 
     @Test
-    void headersOfOneHopDoNotGoOn() throws Exception {
+    void hopByHopHeadersAreNotForwarded() throws Exception {
         try (RawConnection client = startWithOne()) {
             client.send(SidecarFixture.getRequest(SidecarFixture.requestId(1))
                     .replace("X-Lane", "Connection: X-Private\r\nX-Private: 1\r\nX-Lane"));
@@ -66,9 +66,9 @@
         }
     }
 
-    /** A new connection costs an upstream tens of milliseconds of work: the second request takes the first's. */
+    /** A new connection costs an upstream tens of milliseconds of work, so the second request reuses the first's. */
     @Test
-    void anUpstreamsConnectionIsUsedAgain() throws Exception {
+    void upstreamConnectionIsReused() throws Exception {
         try (RawConnection client = startWithOne()) {
             client.send(SidecarFixture.getRequest(SidecarFixture.requestId(1)));
             RawConnection up = SidecarFixture.accept(upstream);
@@ -83,9 +83,9 @@
         }
     }
 
-    /** Clients whose patience is short were taken for ones that come again too late, and refused at once. */
+    /** Clients with short deadlines were mistaken for late retries and refused at once. */
     @Test
-    void anImpatientFirstTryIsServed() throws Exception {
+    void firstAttemptWithShortDeadlineIsServed() throws Exception {
         try (RawConnection client = startWithOne()) {
             client.send(SidecarFixture.getRequest(SidecarFixture.requestId(0)));
             RawConnection up = SidecarFixture.accept(upstream);
@@ -101,19 +101,19 @@
         }
     }
 
-    /** Those that ask once and stay took what requests could have used, each for two seconds at least. */
+    /** Clients that sent one request and stayed connected held descriptors for at least two seconds each. */
     @Test
-    void whereClientsAreCrowdedAConnectionEndsWithItsFirstAnswer() throws Exception {
+    void connectionClosesAfterItsFirstAnswerWhenClientsAreCrowded() throws Exception {
         String ask = "GET /ready HTTP/1.1\r\nHost: origin.svc\r\n\r\n";
-        int most = 20; // requests: half of what is beyond the least
+        int maxRequests = 20; // requests: half of the descriptors above the reserve
         fixture.start(
                 SidecarFixture.list(1, true, SidecarFixture.member("u1", SidecarFixture.address(upstream), "active")),
-                SocketBudget.RESERVED_DESCRIPTORS + 2 * most);
+                SocketBudget.RESERVED_DESCRIPTORS + 2 * maxRequests);
         RawConnection known = fixture.client().send(ask + SidecarFixture.getRequest(SidecarFixture.requestId(0)));
         assertNull(known.read().header("Connection"), "there is room");
         RawConnection up = SidecarFixture.accept(upstream);
         assertEquals(SidecarFixture.requestId(0), up.read().header("X-Txn"));
-        for (int i = 1; i < most; i++) {
+        for (int i = 1; i < maxRequests; i++) {
             fixture.client().send(SidecarFixture.getRequest(SidecarFixture.requestId(i)));
         }
         try (RawConnection added = fixture.client().send(ask)) {
@@ -125,14 +125,14 @@
         assertNull(known.read().header("Connection"), "it has come back before");
     }
 
-    /** Where clients had no connection left, what was worth most was lost as often as what was worth least. */
+    /** When client connections ran out, the most valuable requests were lost as often as the least valuable. */
     @Test
-    void theLastConnectionsOfClientsAreLeftToWorthierRequests() throws Exception {
-        int most = 6; // requests: half of what is beyond the least
-        int held = 3; // beyond which what is left is kept
+    void lastClientConnectionsAreKeptForMoreValuableRequests() throws Exception {
+        int maxRequests = 6; // requests: half of the descriptors above the reserve
+        int held = 3; // further connections are kept for more valuable requests
         fixture.start(
                 SidecarFixture.list(1, true, SidecarFixture.member("u1", SidecarFixture.address(upstream), "active")),
-                SocketBudget.RESERVED_DESCRIPTORS + 2 * most);
+                SocketBudget.RESERVED_DESCRIPTORS + 2 * maxRequests);
         RawConnection first = fixture.client()
                 .send(SidecarFixture.postRequest(SidecarFixture.requestId(0), "x")
                         + SidecarFixture.getRequest(SidecarFixture.requestId(1)));
@@ -162,9 +162,9 @@
         }
     }
 
-    /** Once its last byte is out an unsafe request may have run: a break is a failure, never a refusal or a repeat. */
+    /** An unsafe request may have run once its last byte is sent: a lost connection is a failure, not a refusal or retry. */
     @Test
-    void anUnsafeRequestThatMayHaveRunFails() throws Exception {
+    void unsafeRequestThatMayHaveRunFails() throws Exception {
         try (RawConnection client = startWithOne()) {
             client.send(SidecarFixture.postRequest(SidecarFixture.requestId(1), "x"));
             RawConnection up = SidecarFixture.accept(upstream);
@@ -175,7 +175,7 @@
     }
 
     @Test
-    void theSameHoldsOnAConnectionThatWasUsedBefore() throws Exception {
+    void unsafeRequestOnAReusedConnectionFails() throws Exception {
         try (RawConnection client = startWithOne()) {
             client.send(SidecarFixture.postRequest(SidecarFixture.requestId(1), "x"));
             RawConnection up = SidecarFixture.accept(upstream);
@@ -190,26 +190,26 @@
         }
     }
 
-    /** A 503 proves nothing by itself: it may come from something behind the upstream. */
+    /** A 503 alone does not prove that nothing ran: it may come from a server behind the upstream. */
     @Test
-    void a503IsARefusalOnlyWhereTheUpstreamSaysThatNothingRan() throws Exception {
+    void status503IsARefusalOnlyIfTheUpstreamReportsThatNothingRan() throws Exception {
         try (RawConnection client = startWithOne()) {
             client.send(SidecarFixture.postRequest(SidecarFixture.requestId(1), "x"));
             RawConnection up = SidecarFixture.accept(upstream);
             up.read();
             up.send(SidecarFixture.answer(
-                    "503 Service Unavailable", "", "Connection: close")); // the next one is accepted anew
+                    "503 Service Unavailable", "", "Connection: close")); // the next request opens a new connection
             assertEquals(502, client.read().status());
             client.send(SidecarFixture.postRequest(SidecarFixture.requestId(2), "x"));
-            turnAway();
+            rejectAllAttempts();
             Message refused = client.read();
             assertEquals(503, refused.status());
             assertNotNull(refused.header("Retry-After"));
         }
     }
 
-    /** Turned away unseen, a request may come again as often as the module likes; in the end it is refused. */
-    private void turnAway() {
+    /** Rejects every attempt before it runs: the balancer may retry at will, and finally refuses the request. */
+    private void rejectAllAttempts() {
         Thread thread = new Thread(() -> {
             try {
                 while (true) {
@@ -218,7 +218,7 @@
                     up.send(SidecarFixture.answer("504 Gateway Timeout", "", "X-Turned-Away: 1"));
                 }
             } catch (IOException e) {
-                // The listener has closed, and with it the test.
+                // The listener is closed at the end of the test.
             }
         });
         thread.setDaemon(true);
@@ -226,13 +226,13 @@
     }
 
     @Test
-    void whatCouldNotConnectGoesToAnotherUpstream() throws Exception {
+    void attemptThatCannotConnectIsRetriedOnAnotherUpstream() throws Exception {
         fixture.start(SidecarFixture.list(
                 1,
                 true,
                 SidecarFixture.member("dead", fixture.unusedAddress(), "active"),
                 SidecarFixture.member("u1", SidecarFixture.address(upstream), "active")));
-        // Each of several is drawn at random: whichever come to the dead one first must go on to the other.
+        // Upstreams are drawn at random: a request that draws the dead one first must be retried on the other.
         RawConnection up = null;
         for (int i = 0; i < 6; i++) {
             try (RawConnection client = fixture.client()) {
@@ -247,7 +247,7 @@
     }
 
     @Test
-    void rubbishFromAnUpstreamIsAFailedAttempt() throws Exception {
+    void malformedAnswerIsAFailedAttempt() throws Exception {
         try (RawConnection client = startWithOne()) {
             client.send(SidecarFixture.postRequest(SidecarFixture.requestId(1), "x"));
             RawConnection up = SidecarFixture.accept(upstream);
@@ -259,7 +259,7 @@
     }
 
     @Test
-    void anAnswerThatIsTooLongIsAFailedAttempt() throws Exception {
+    void oversizedAnswerIsAFailedAttempt() throws Exception {
         try (RawConnection client = startWithOne()) {
             client.send(SidecarFixture.postRequest(SidecarFixture.requestId(1), "x"));
             RawConnection up = SidecarFixture.accept(upstream);
@@ -270,7 +270,7 @@
     }
 
     @Test
-    void aBodyOf64KiBGoesBothWays() throws Exception {
+    void bodyOf64KiBIsTransferredBothWays() throws Exception {
         String body = "b".repeat(Upstreams.MOST_BODY_BYTES);
         try (RawConnection client = startWithOne()) {
             client.send(SidecarFixture.postRequest(SidecarFixture.requestId(1), body));
@@ -281,9 +281,9 @@
         }
     }
 
-    /** A whole answer that is cut short is none: what was promised by its length never came. */
+    /** An answer shorter than its Content-Length is incomplete and does not count. */
     @Test
-    void anAnswerCutShortIsAFailedAttempt() throws Exception {
+    void truncatedAnswerIsAFailedAttempt() throws Exception {
         try (RawConnection client = startWithOne()) {
             client.send(SidecarFixture.postRequest(SidecarFixture.requestId(1), "x"));
             RawConnection up = SidecarFixture.accept(upstream);
@@ -333,7 +333,7 @@
     }
 
     @Test
-    void aClientThatLeavesEndsItsAttempt() throws Exception {
+    void clientDisconnectCancelsItsAttempt() throws Exception {
         RawConnection client = startWithOne();
         client.send(SidecarFixture.getRequest(SidecarFixture.requestId(1)));
         RawConnection up = SidecarFixture.accept(upstream);
@@ -342,9 +342,9 @@
         assertTrue(up.awaitClose(), "giving up an attempt closes its connection");
     }
 
-    /** A hung upstream accepts and answers nothing: the client still gets its one answer, at its deadline. */
+    /** A hung upstream accepts but never answers: the client still gets one answer at its deadline. */
     @Test
-    void aHungUpstreamDoesNotLoseTheRequest() throws Exception {
+    void requestToAHungUpstreamIsAnsweredAtItsDeadline() throws Exception {
         try (RawConnection client = startWithOne()) {
             client.send(
                     SidecarFixture.postRequest(SidecarFixture.requestId(1), "x").replace("30000", "1500"));
@@ -356,7 +356,7 @@
     }
 
     @Test
-    void answersOfOneConnectionKeepTheOrderOfItsRequests() throws Exception {
+    void answersKeepTheOrderOfTheRequestsOnAConnection() throws Exception {
         try (RawConnection client = startWithOne()) {
             client.send(SidecarFixture.getRequest(SidecarFixture.requestId(1))
                     + SidecarFixture.getRequest(SidecarFixture.requestId(2)).replace("window-read", "unheard-of"));
@@ -368,9 +368,9 @@
         }
     }
 
-    /** Past the limit on descriptors an accept fails and its request is lost: upstreams leave room for clients. */
+    /** Beyond the descriptor limit an accept fails and its request is lost, so upstreams leave sockets for clients. */
     @Test
-    void connectionsToUpstreamsLeaveRoomForClients() throws Exception {
+    void upstreamConnectionsLeaveSocketsForClients() throws Exception {
         fixture.start(
                 SidecarFixture.list(1, true, SidecarFixture.member("u1", SidecarFixture.address(upstream), "active")),
                 SocketBudget.RESERVED_DESCRIPTORS + 4);
@@ -388,9 +388,9 @@
         }
     }
 
-    /** What SIGTERM begins: what was taken is answered, what comes is served, and only then it ends. */
+    /** Shutdown as on SIGTERM: accepted requests are answered and new ones served before the sidecar stops. */
     @Test
-    void aStopAnswersWhatWasTakenAndWhatStillComes() throws Exception {
+    void stopAnswersAcceptedAndNewRequests() throws Exception {
         try (RawConnection client = startWithOne()) {
             client.send(SidecarFixture.getRequest(SidecarFixture.requestId(1)));
             RawConnection up = SidecarFixture.accept(upstream);
@@ -411,7 +411,7 @@
                 assertEquals("two", late.read().body());
             }
             while (listening()) {
-                Thread.onSpinWait(); // it goes on accepting for a while; what counts is what it does after that
+                Thread.onSpinWait(); // it keeps accepting for a while; the test checks the state after that
             }
             assertTrue(stop.isAlive(), "one request is still in hand");
             up.send(SidecarFixture.answer("200 OK", "one"));
