--- a/sidecar/src/main/java/gradehub/node/EventLoopLag.java
+++ b/sidecar/src/main/java/gradehub/node/EventLoopLag.java
@@ -16,8 +16,9 @@
 
     private final EventLoop loop;
     private final Clock clock;
-    private final Runnable clearCarriedLag =
-            this::clearCarriedLag; // created once: creating a lambda in the first stall would prolong it
+    /** Created once: creating a lambda in the first stall would prolong it. */
+    private final Runnable clearCarriedLag = this::clearCarriedLag;
+
     private double sampledAtMs;
     /** The lag at the last sample, kept while input that arrived before that sample may still be unread. */
     private double carriedLagMs;
--- a/sidecar/src/main/java/gradehub/node/ReadAheadChannel.java
+++ b/sidecar/src/main/java/gradehub/node/ReadAheadChannel.java
@@ -216,9 +216,9 @@
 
     @Override
     protected void doBeginRead() throws Exception {
-        boolean registers = !registrationMonitor.isInterestedIn(NioIoOps.READ);
+        boolean addsInterest = !registrationMonitor.isInterestedIn(NioIoOps.READ);
         super.doBeginRead();
-        if (registers) {
+        if (addsInterest) {
             registrationMonitor.registrationChanged();
         }
         if (buffered != null) {
--- a/sidecar/src/main/java/gradehub/node/RegistrationMonitor.java
+++ b/sidecar/src/main/java/gradehub/node/RegistrationMonitor.java
@@ -56,7 +56,7 @@
         registrations.markUnconfirmed(this);
     }
 
-    /** Records that the selector has reported the channel as readable. */
+    /** Records that the selector has reported the channel as readable or acceptable. */
     void readReadinessReported() {
         readReported = true;
     }
--- a/sidecar/src/test/java/gradehub/node/FailedWriteTest.java
+++ b/sidecar/src/test/java/gradehub/node/FailedWriteTest.java
@@ -18,10 +18,10 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** An answer to a client that could not be written, on a connection that is open all the same. */
+/** Tests a failed write of an answer to a client on a connection that stays open. */
 class FailedWriteTest {
 
-    private static final String READY = "GET /ready HTTP/1.1\r\n\r\n";
+    private static final String READY_REQUEST = "GET /ready HTTP/1.1\r\n\r\n";
     private static final int DESCRIPTORS = 1024;
 
     private final EventLoopGroup loops = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
@@ -31,17 +31,17 @@
         loops.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly(RawConnection.TIMEOUT_MS);
     }
 
-    /** Puts a handler next to the socket of each client that is accepted. */
-    private static final class Accepting extends ChannelInboundHandlerAdapter {
+    /** Adds the failing handler at the socket end of each accepted channel's pipeline. */
+    private static final class FaultInstaller extends ChannelInboundHandlerAdapter {
         @Override
         public void channelRead(ChannelHandlerContext context, Object accepted) {
-            ((Channel) accepted).pipeline().addFirst(new FailsOnce());
+            ((Channel) accepted).pipeline().addFirst(new FirstWriteFails());
             context.fireChannelRead(accepted);
         }
     }
 
-    /** Fails the first write, as one for which there is no memory fails. */
-    private static final class FailsOnce extends ChannelOutboundHandlerAdapter {
+    /** Fails the first write, as a lack of memory would. */
+    private static final class FirstWriteFails extends ChannelOutboundHandlerAdapter {
         private boolean failed;
 
         @Override
@@ -56,23 +56,28 @@
         }
     }
 
-    /** Answers have no names: the client would take the second for the first. */
+    /** Answers carry no identifier, so the client would take the second answer for the first. */
     @Test
-    void theAnswerBehindOneThatWasNotWrittenIsNotWrittenEither() throws Exception {
-        AtomicInteger checks = new AtomicInteger(); // the first is answered 200, the second 503
+    void doesNotWriteAnswerAfterFailedWrite() throws Exception {
+        AtomicInteger readinessChecks = new AtomicInteger(); // the first is answered 200, the second 503
         Clock clock = new Clock();
         try (SidecarFixture fixture = new SidecarFixture()) {
             Config config = Config.parse(fixture.config(null));
             SocketBudget sockets = new SocketBudget(DESCRIPTORS);
             ClientServer server = new ClientServer(
-                    loops.next(), clock, config.settings(), null, sockets, () -> checks.incrementAndGet() == 1);
+                    loops.next(),
+                    clock,
+                    config.settings(),
+                    null,
+                    sockets,
+                    () -> readinessChecks.incrementAndGet() == 1);
             Channel listener =
                     server.bind(config.listen()).syncUninterruptibly().channel();
             loops.next()
-                    .submit(() -> listener.pipeline().addFirst(new Accepting()))
+                    .submit(() -> listener.pipeline().addFirst(new FaultInstaller()))
                     .syncUninterruptibly();
             try (RawConnection client = RawConnection.connect((InetSocketAddress) listener.localAddress())) {
-                client.send(READY + READY);
+                client.send(READY_REQUEST + READY_REQUEST);
                 assertThrows(IOException.class, client::read);
             }
         }
--- a/sidecar/src/test/java/gradehub/node/PreSendCheckTest.java
+++ b/sidecar/src/test/java/gradehub/node/PreSendCheckTest.java
@@ -10,10 +10,10 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** What has changed while a request waited is seen before its first byte goes out. */
+/** Tests that changes during a request's wait are detected before its first byte is sent upstream. */
 class PreSendCheckTest {
 
-    private static final String READY = "GET /ready HTTP/1.1\r\n\r\n";
+    private static final String READY_REQUEST = "GET /ready HTTP/1.1\r\n\r\n";
 
     private SidecarFixture fixture;
     private ServerSocket upstream;
@@ -29,43 +29,44 @@
         fixture.close();
     }
 
-    private static String one(String phase, ServerSocket at) {
-        return SidecarFixture.list(1, true, SidecarFixture.member("u1", SidecarFixture.address(at), phase));
+    private static String singleMemberList(String phase, ServerSocket listener) {
+        return SidecarFixture.list(1, true, SidecarFixture.member("u1", SidecarFixture.address(listener), phase));
     }
 
-    /** The event loop reads the request and the close behind it in one go, but the request first. */
+    /** The event loop reads the request and the close in one iteration, the request first. */
     @Test
-    void aRequestThatIsReadAfterItsClientHasLeftIsNotSentOn() throws Throwable {
-        fixture.start(one("active", upstream));
-        RawConnection leaving = fixture.client();
+    void doesNotForwardRequestReadAfterClientClosed() throws Throwable {
+        fixture.start(singleMemberList("active", upstream));
+        RawConnection closingClient = fixture.client();
         try (RawConnection other = fixture.client()) {
-            leaving.send(READY).read();
-            other.send(READY).read();
+            closingClient.send(READY_REQUEST).read();
+            other.send(READY_REQUEST).read();
             fixture.whileEventLoopBlocked(() -> {
-                leaving.send(SidecarFixture.postRequest(SidecarFixture.requestId(1), "x"))
+                closingClient
+                        .send(SidecarFixture.postRequest(SidecarFixture.requestId(1), "x"))
                         .close();
                 other.send(SidecarFixture.postRequest(SidecarFixture.requestId(2), "x"));
             });
             assertEquals(
                     SidecarFixture.requestId(2),
                     SidecarFixture.accept(upstream).read().header("X-Txn"),
-                    "the first that the upstream saw");
+                    "the first request that reached the upstream");
         }
     }
 
-    /** It waits in the module's queue; the list that ends the wait comes just before the client's close. */
+    /** The request waits in the queue; the list that ends the wait arrives just before the client's close. */
     @Test
-    void aRequestWhoseClientLeavesTheQueueIsNotSentOn() throws Throwable {
-        fixture.start(one("leaving", upstream));
-        RawConnection leaving = fixture.client();
+    void doesNotForwardQueuedRequestAfterClientClosed() throws Throwable {
+        fixture.start(singleMemberList("leaving", upstream));
+        RawConnection closingClient = fixture.client();
         try (RawConnection watch = fixture.acceptWatch();
                 RawConnection other = fixture.client()) {
-            leaving.send(SidecarFixture.postRequest(SidecarFixture.requestId(1), "x"));
+            closingClient.send(SidecarFixture.postRequest(SidecarFixture.requestId(1), "x"));
             fixture.awaitRequestsInFlight(1);
             fixture.whileEventLoopBlocked(() -> {
                 watch.send(SidecarFixture.chunk(SidecarFixture.list(
                         2, false, SidecarFixture.member("u1", SidecarFixture.address(upstream), "active"))));
-                leaving.close();
+                closingClient.close();
             });
             fixture.awaitRequestsInFlight(0);
             other.send(SidecarFixture.postRequest(SidecarFixture.requestId(2), "x"));
@@ -75,19 +76,20 @@
         }
     }
 
-    /** Before its close it has sent much more, which lies unread in front of that. */
+    /** The close is behind 60,000 bytes of unread input. */
     @Test
-    void aRequestWhoseClientSendsMuchAndLeavesTheQueueIsNotSentOn() throws Throwable {
-        fixture.start(one("leaving", upstream));
-        RawConnection leaving = fixture.client();
+    void doesNotForwardQueuedRequestAfterClientSentMoreAndClosed() throws Throwable {
+        fixture.start(singleMemberList("leaving", upstream));
+        RawConnection closingClient = fixture.client();
         try (RawConnection watch = fixture.acceptWatch();
                 RawConnection other = fixture.client()) {
-            leaving.send(SidecarFixture.postRequest(SidecarFixture.requestId(1), "x"));
+            closingClient.send(SidecarFixture.postRequest(SidecarFixture.requestId(1), "x"));
             fixture.awaitRequestsInFlight(1);
             fixture.whileEventLoopBlocked(() -> {
                 watch.send(SidecarFixture.chunk(SidecarFixture.list(
                         2, false, SidecarFixture.member("u1", SidecarFixture.address(upstream), "active"))));
-                leaving.send(SidecarFixture.postRequest(SidecarFixture.requestId(2), "y".repeat(60_000)))
+                closingClient
+                        .send(SidecarFixture.postRequest(SidecarFixture.requestId(2), "y".repeat(60_000)))
                         .close();
             });
             fixture.awaitRequestsInFlight(0);
@@ -98,18 +100,18 @@
         }
     }
 
-    /** Its first attempt breaks just as it leaves: nothing more goes out for it. */
+    /** The upstream resets the first attempt just as the client closes, so there must be no second attempt. */
     @Test
-    void aRequestWhoseClientLeavesAsItsAttemptFailsIsNotSentAgain() throws Throwable {
-        fixture.start(one("active", upstream));
-        RawConnection leaving = fixture.client();
+    void doesNotRetryRequestWhoseClientClosesAsAttemptFails() throws Throwable {
+        fixture.start(singleMemberList("active", upstream));
+        RawConnection closingClient = fixture.client();
         try (RawConnection other = fixture.client()) {
-            leaving.send(SidecarFixture.getRequest(SidecarFixture.requestId(1)));
-            RawConnection up = SidecarFixture.accept(upstream);
-            up.read();
+            closingClient.send(SidecarFixture.getRequest(SidecarFixture.requestId(1)));
+            RawConnection upstreamConnection = SidecarFixture.accept(upstream);
+            upstreamConnection.read();
             fixture.whileEventLoopBlocked(() -> {
-                up.reset();
-                leaving.close();
+                upstreamConnection.reset();
+                closingClient.close();
             });
             fixture.awaitRequestsInFlight(0);
             other.send(SidecarFixture.postRequest(SidecarFixture.requestId(2), "x"));
@@ -119,10 +121,10 @@
         }
     }
 
-    /** What a look finds on the client's connection is no close, and is not lost. */
+    /** Input that the check reads from the client's connection is not a close and must not be lost. */
     @Test
-    void aClientThatSendsMoreHasNotLeft() throws Throwable {
-        fixture.start(one("leaving", upstream));
+    void servesPipelinedRequestFoundByTheCheck() throws Throwable {
+        fixture.start(singleMemberList("leaving", upstream));
         try (RawConnection watch = fixture.acceptWatch();
                 RawConnection client = fixture.client()) {
             client.send(SidecarFixture.postRequest(SidecarFixture.requestId(1), "x"));
@@ -133,58 +135,58 @@
                 client.send(SidecarFixture.postRequest(SidecarFixture.requestId(2), "y".repeat(60_000)));
             });
             for (int i = 1; i <= 2; i++) {
-                RawConnection up = SidecarFixture.accept(upstream);
-                String id = up.read().header("X-Txn");
-                up.send(SidecarFixture.answer("200 OK", id, "Connection: close"));
+                RawConnection upstreamConnection = SidecarFixture.accept(upstream);
+                String id = upstreamConnection.read().header("X-Txn");
+                upstreamConnection.send(SidecarFixture.answer("200 OK", id, "Connection: close"));
             }
             assertEquals(SidecarFixture.requestId(1), client.read().body());
             assertEquals(SidecarFixture.requestId(2), client.read().body());
         }
     }
 
-    /** Where attempts can't be called off the module lets them be: one that has not begun is not to begin. */
+    /** With cancellation off the module does not cancel attempts; an attempt not yet sent must not be sent. */
     @Test
-    void aRequestWhoseClientLeftWhileItsConnectionCameUpIsNotSentOn() throws Throwable {
+    void doesNotForwardRequestWhoseClientClosedDuringConnect() throws Throwable {
         try (SidecarFixture.FullBacklogListener slow = new SidecarFixture.FullBacklogListener()) {
-            fixture.startWithSetting(one("active", slow.listener), "\"cancel\":true", "\"cancel\":false");
+            fixture.startWithSetting(singleMemberList("active", slow.listener), "\"cancel\":true", "\"cancel\":false");
             try (RawConnection client = fixture.client()) {
                 client.send(SidecarFixture.postRequest(SidecarFixture.requestId(1), "x"));
                 fixture.awaitRequestsInFlight(1);
             }
             fixture.awaitOnEventLoop(() -> fixture.sidecar().clients() == 0);
-            assertTrue(slow.drainAndAccept().awaitClose(), "nothing is written to it");
+            assertTrue(slow.drainAndAccept().awaitClose(), "nothing is written to the connection");
             fixture.awaitRequestsInFlight(0);
         }
     }
 
-    /** The timer that ends it is due, but what comes from sockets is seen first. */
+    /** The deadline timer is due, but the event loop processes sockets before timers. */
     @Test
-    void aRequestThatIsOutOfTimeWhenItsConnectionIsUpIsNotSentOn() throws Throwable {
+    void doesNotForwardRequestPastItsDeadlineAfterConnect() throws Throwable {
         int remainingMs = 3000;
         try (SidecarFixture.FullBacklogListener slow = new SidecarFixture.FullBacklogListener()) {
-            fixture.start(one("active", slow.listener));
+            fixture.start(singleMemberList("active", slow.listener));
             try (RawConnection client = fixture.client()) {
                 client.send(SidecarFixture.postRequest(SidecarFixture.requestId(1), "x")
                         .replace("30000", "" + remainingMs));
                 fixture.awaitRequestsInFlight(1);
-                long takenNanos = System.nanoTime();
-                AtomicReference<RawConnection> up = new AtomicReference<>();
+                long acceptedNanos = System.nanoTime();
+                AtomicReference<RawConnection> upstreamConnection = new AtomicReference<>();
                 fixture.whileEventLoopBlocked(() -> {
-                    up.set(slow.drainAndAccept());
-                    while (System.nanoTime() - takenNanos < TimeUnit.MILLISECONDS.toNanos(remainingMs)) {
+                    upstreamConnection.set(slow.drainAndAccept());
+                    while (System.nanoTime() - acceptedNanos < TimeUnit.MILLISECONDS.toNanos(remainingMs)) {
                         Thread.onSpinWait();
                     }
                 });
-                assertTrue(up.get().awaitClose(), "nothing is written to it");
-                assertEquals(503, client.read().status(), "and so it never ran");
+                assertTrue(upstreamConnection.get().awaitClose(), "nothing is written to the connection");
+                assertEquals(503, client.read().status(), "the request was not executed");
             }
         }
     }
 
     @Test
-    void aRequestThatWaitsForAnUpstreamThatLeavesGoesToAnother() throws Throwable {
+    void reroutesRequestConnectingToLeavingUpstream() throws Throwable {
         try (SidecarFixture.FullBacklogListener slow = new SidecarFixture.FullBacklogListener()) {
-            fixture.start(one("active", slow.listener));
+            fixture.start(singleMemberList("active", slow.listener));
             try (RawConnection watch = fixture.acceptWatch();
                     RawConnection client = fixture.client()) {
                 client.send(SidecarFixture.postRequest(SidecarFixture.requestId(1), "x"));
@@ -194,38 +196,39 @@
                         false,
                         SidecarFixture.member("u1", SidecarFixture.address(slow.listener), "leaving"),
                         SidecarFixture.member("u2", SidecarFixture.address(upstream), "active"))));
-                RawConnection up = SidecarFixture.accept(upstream);
-                assertEquals(SidecarFixture.requestId(1), up.read().header("X-Txn"));
-                up.send(SidecarFixture.answer("200 OK", "done"));
+                RawConnection upstreamConnection = SidecarFixture.accept(upstream);
+                assertEquals(
+                        SidecarFixture.requestId(1), upstreamConnection.read().header("X-Txn"));
+                upstreamConnection.send(SidecarFixture.answer("200 OK", "done"));
                 assertEquals("done", client.read().body());
             }
         }
     }
 
-    /** Its key is forgotten by the time that its connection is up: it would run twice. */
+    /** The upstream has dropped the key by the time the connection opens, so the request would run twice. */
     @Test
-    void aKeyedRequestThatMayHaveRunIsNotRepeatedAfterItsWindow() throws Throwable {
+    void doesNotRetryKeyedRequestAfterDedupWindow() throws Throwable {
         int windowMs = 1500;
         try (SidecarFixture.FullBacklogListener slow = new SidecarFixture.FullBacklogListener()) {
             fixture.startWithSetting(
-                    one("active", upstream),
+                    singleMemberList("active", upstream),
                     "\"fragile\",\"group\":\"all\"",
                     "\"dedup\",\"group\":\"all\",\"windowMs\":" + windowMs);
             try (RawConnection watch = fixture.acceptWatch();
                     RawConnection client = fixture.client()) {
                 client.send(SidecarFixture.postRequest(SidecarFixture.requestId(1), "x")
                         .replace("Host:", "Idempotency-Key: k1\r\nHost:"));
-                RawConnection up = SidecarFixture.accept(upstream);
-                up.read();
+                RawConnection upstreamConnection = SidecarFixture.accept(upstream);
+                upstreamConnection.read();
                 long sentNanos = System.nanoTime();
                 watch.send(SidecarFixture.chunk(SidecarFixture.list(
                         2, false, SidecarFixture.member("u2", SidecarFixture.address(slow.listener), "active"))));
                 fixture.awaitOnEventLoop(() -> fixture.sidecar().engine().listed() == 2);
-                up.reset();
+                upstreamConnection.reset();
                 while (System.nanoTime() - sentNanos < TimeUnit.MILLISECONDS.toNanos(windowMs)) {
                     Thread.onSpinWait();
                 }
-                assertTrue(slow.drainAndAccept().awaitClose(), "nothing is written to it");
+                assertTrue(slow.drainAndAccept().awaitClose(), "nothing is written to the connection");
             }
         }
     }
