--- a/sidecar/src/test/java/gradehub/node/LateReadTest.java
+++ b/sidecar/src/test/java/gradehub/node/LateReadTest.java
@@ -109,7 +109,8 @@
                 client.send(request(1, LONG_MS));
                 stall();
             });
-            int receivedMs = Integer.parseInt(SidecarFixture.accept(upstream).read().header("X-Remaining-Ms"));
+            int receivedMs =
+                    Integer.parseInt(SidecarFixture.accept(upstream).read().header("X-Remaining-Ms"));
             assertTrue(receivedMs <= LONG_MS - SHORT_MS, "told " + receivedMs + " ms");
         }
     }
@@ -121,7 +122,8 @@
         fixture.awaitOnEventLoop(() -> fixture.sidecar().lagMs() == 0);
         try (RawConnection client = fixture.client()) {
             client.send(request(1, LONG_MS));
-            int receivedMs = Integer.parseInt(SidecarFixture.accept(upstream).read().header("X-Remaining-Ms"));
+            int receivedMs =
+                    Integer.parseInt(SidecarFixture.accept(upstream).read().header("X-Remaining-Ms"));
             assertTrue(receivedMs > LONG_MS - SHORT_MS, "told " + receivedMs + " ms");
         }
     }
