--- a/sidecar/src/main/java/gradehub/node/ReloadSignal.java
+++ b/sidecar/src/main/java/gradehub/node/ReloadSignal.java
@@ -7,9 +7,9 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Handles SIGHUP, which reloads the configuration. The handler is installed before any other startup step, because without
- * one the signal ends the JVM; a signal that arrives before there is a reload action is kept until then. Files are read
- * on a separate thread. A failed read is retried until it succeeds or a newer signal arrives.
+ * Handles SIGHUP, which reloads the configuration. The handler is installed before any other startup step, because
+ * without one the signal ends the JVM; a signal that arrives before there is a reload action is kept until then. Files
+ * are read on a separate thread. A failed read is retried until it succeeds or a newer signal arrives.
  */
 final class ReloadSignal {
 
