--- a/sidecar/src/main/java/gradehub/node/Answer.java
+++ b/sidecar/src/main/java/gradehub/node/Answer.java
@@ -1,7 +1,7 @@
 package gradehub.node;
 
-/** The final answer to a client's request; {@code retryAfterMs} 0 gives no advice, {@code type} may be null. */
-record Answer(int status, double retryAfterMs, String type, byte[] body) {
+/** The final answer to a client's request; {@code retryAfterMs} 0 gives no advice, {@code contentType} may be null. */
+record Answer(int status, double retryAfterMs, String contentType, byte[] body) {
 
     private static final byte[] NO_BODY = {};
 
--- a/sidecar/src/main/java/gradehub/node/ClientConnection.java
+++ b/sidecar/src/main/java/gradehub/node/ClientConnection.java
@@ -79,8 +79,8 @@
         @Override
         public void answer(Answer answer) {
             FullHttpResponse message = response(HttpResponseStatus.valueOf(answer.status()), answer.body());
-            if (answer.type() != null) {
-                message.headers().set(HttpHeaderNames.CONTENT_TYPE, answer.type());
+            if (answer.contentType() != null) {
+                message.headers().set(HttpHeaderNames.CONTENT_TYPE, answer.contentType());
             }
             if (answer.retryAfterMs() > 0) {
                 message.headers()
@@ -92,7 +92,7 @@
         }
 
         @Override
-        public boolean hasLeft() {
+        public boolean isDisconnected() {
             return channel.hasEnded();
         }
 
--- a/sidecar/src/main/java/gradehub/node/Discovery.java
+++ b/sidecar/src/main/java/gradehub/node/Discovery.java
@@ -34,7 +34,7 @@
  * The list of upstreams. Where lists are pushed, a watch is kept open at all times; where they are asked for, the
  * module says when. Each list or change of it is passed on as soon as it has been read.
  */
-final class Discovery implements Engine.Lists {
+final class Discovery implements Engine.ListSource {
 
     private static final System.Logger LOG = System.getLogger("gradehub");
     private static final String LIST = "/v1/endpoints";
--- a/sidecar/src/main/java/gradehub/node/Engine.java
+++ b/sidecar/src/main/java/gradehub/node/Engine.java
@@ -38,11 +38,11 @@
         void answer(Answer answer);
 
         /** Whether its connection has ended, also where the event loop has not come to that yet. */
-        boolean hasLeft();
+        boolean isDisconnected();
     }
 
     /** Where the module's wishes about the list of upstreams go. */
-    interface Lists {
+    interface ListSource {
         void subscribe(boolean on);
 
         void fetch();
@@ -98,7 +98,7 @@
     private final StartTimes starts = new StartTimes();
     private final ArrayDeque<Event> events = new ArrayDeque<>();
     private boolean telling;
-    private Lists lists;
+    private ListSource lists;
     private int lastRequest;
     private int lastMember;
 
@@ -118,24 +118,24 @@
         this.balancer.clientRoom(sockets.mostRequests());
     }
 
-    void start(Lists discovery) {
+    void start(ListSource discovery) {
         lists = discovery;
         tell(null, now -> balancer.start(now)); // a reference to a method of an interface can't be archived
     }
 
     /** How many requests have no answer yet, or attempts that are still out. */
-    int inHand() {
+    int requestsInFlight() {
         return exchanges.size();
     }
 
     /** How many upstreams are listed, whatever their state. */
-    int listed() {
+    int upstreamCount() {
         return memberIds.size();
     }
 
     /** Whether each idle connection to an upstream can be used again. */
-    boolean upstreamsHaveRested() {
-        return upstreams.haveRested();
+    boolean canReuseIdleConnections() {
+        return upstreams.canReuseIdleConnections();
     }
 
     // ---- What happens: told to the module in the order in which it happened.
@@ -178,7 +178,7 @@
     @Override
     public boolean isWanted(Upstreams.Attempt attempt) {
         Exchange exchange = attempt.exchange;
-        if (exchange.client.hasLeft()) {
+        if (exchange.client.isDisconnected()) {
             clientLeft(exchange);
         }
         return !exchange.over && isHarmless(attempt);
@@ -235,7 +235,7 @@
                     member.cell(),
                     member.weight()));
         }
-        byReady.get(true).forEach(member -> upstreams.listed(memberIds.get(member.id()), member));
+        byReady.get(true).forEach(member -> upstreams.update(memberIds.get(member.id()), member));
         // What then fails at an upstream that is gone finds the module knowing that.
         tell(null, now -> balancer.upstreams(now, kind, entries));
         byReady.get(false).forEach(this::notReady);
@@ -251,7 +251,7 @@
         if (member.status() == Status.GONE) {
             gone(member.id());
         } else {
-            upstreams.listed(memberIds.get(member.id()), member);
+            upstreams.update(memberIds.get(member.id()), member);
         }
     }
 
--- a/sidecar/src/main/java/gradehub/node/LoadReport.java
+++ b/sidecar/src/main/java/gradehub/node/LoadReportParser.java
@@ -3,7 +3,7 @@
 import java.util.List;
 
 /** Reads what an upstream tells of its load. */
-record LoadReport(List<String> fields) {
+record LoadReportParser(List<String> fields) {
 
     static final double[] NONE = {};
 
@@ -11,7 +11,7 @@
      * The figures in the order of the settings. Where one is missing or can't be one there is no report: with a 0 in
      * its place an upstream would look idle.
      */
-    double[] read(String header) {
+    double[] parse(String header) {
         if (header == null || fields.isEmpty()) {
             return NONE;
         }
--- a/sidecar/src/main/java/gradehub/node/RequestGuard.java
+++ b/sidecar/src/main/java/gradehub/node/RequestGuard.java
@@ -61,7 +61,7 @@
         if (coding != null && (!chunked || !request.protocolVersion().isKeepAliveDefault())) {
             throw new RejectedException(HttpResponseStatus.NOT_IMPLEMENTED, "no such transfer coding");
         }
-        if (HttpUtil.getContentLength(request, 0L) > Upstreams.MOST_BODY_BYTES) {
+        if (HttpUtil.getContentLength(request, 0L) > Upstreams.MAX_BODY_BYTES) {
             throw new RejectedException(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too long");
         }
     }
@@ -80,7 +80,7 @@
 
     /** Joins the parts of a request; what grows too long on the way goes on as an error, in its turn. */
     static HttpObjectAggregator joining() {
-        return new HttpObjectAggregator(Upstreams.MOST_BODY_BYTES) {
+        return new HttpObjectAggregator(Upstreams.MAX_BODY_BYTES) {
             @Override
             protected void handleOversizedMessage(ChannelHandlerContext context, HttpMessage oversized) {
                 context.fireExceptionCaught(new TooLongHttpContentException("the body is too long"));
--- a/sidecar/src/main/java/gradehub/node/Sidecar.java
+++ b/sidecar/src/main/java/gradehub/node/Sidecar.java
@@ -253,11 +253,11 @@
      * last answer, an idle one by itself. Clients that do not read their answers are not waited for.
      */
     private void shutDownWhenDrained() {
-        if (engine.inHand() == 0 && (clients.open() == 0 || drainLeftMs <= 0)) {
+        if (engine.requestsInFlight() == 0 && (clients.open() == 0 || drainLeftMs <= 0)) {
             halt();
             return;
         }
-        drainLeftMs = engine.inHand() > 0 ? CONNECTION_DRAIN_MS : drainLeftMs - POLL_MS;
+        drainLeftMs = engine.requestsInFlight() > 0 ? CONNECTION_DRAIN_MS : drainLeftMs - POLL_MS;
         loop.schedule(shutDownWhenDrained, POLL_MS, TimeUnit.MILLISECONDS);
     }
 
--- a/sidecar/src/main/java/gradehub/node/UpstreamConnection.java
+++ b/sidecar/src/main/java/gradehub/node/UpstreamConnection.java
@@ -101,7 +101,7 @@
 
     /** One that says that it is too long, or grows so, is not waited for. */
     private static HttpObjectAggregator joining() {
-        return new HttpObjectAggregator(Upstreams.MOST_BODY_BYTES, true) {
+        return new HttpObjectAggregator(Upstreams.MAX_BODY_BYTES, true) {
             @Override
             protected void handleOversizedMessage(ChannelHandlerContext context, HttpMessage oversized) {
                 context.fireExceptionCaught(new TooLongFrameException("the answer is too long"));
@@ -176,7 +176,7 @@
         }
         reusable = HttpUtil.isKeepAlive(response) && !channel.isInputShutdown();
         outcome = outcome(response);
-        report = upstreams.reports().read(response.headers().get(LOAD_REPORT));
+        report = upstreams.reports().parse(response.headers().get(LOAD_REPORT));
         answer = outcome == Outcome.OK || outcome == Outcome.CANCELLED
                 ? new Answer(
                         response.status().code(),
@@ -218,7 +218,8 @@
     private void spoil() {
         reusable = false;
         if (attempt != null && outcome == null) {
-            upstreams.end(attempt, attempt.written ? Outcome.ERROR : Outcome.CONNECT_FAILED, LoadReport.NONE, null);
+            upstreams.end(
+                    attempt, attempt.written ? Outcome.ERROR : Outcome.CONNECT_FAILED, LoadReportParser.NONE, null);
         } else if (attempt == null) {
             close();
         }
@@ -272,7 +273,7 @@
         if (attempt == null) {
             close();
         } else if (!writing) {
-            upstreams.end(attempt, Outcome.CONNECT_FAILED, LoadReport.NONE, null);
+            upstreams.end(attempt, Outcome.CONNECT_FAILED, LoadReportParser.NONE, null);
         }
     }
 
@@ -306,7 +307,8 @@
         if (attempt != null && outcome != null) {
             upstreams.end(attempt, outcome, report, answer);
         } else if (attempt != null) {
-            upstreams.end(attempt, attempt.written ? Outcome.RESET : Outcome.CONNECT_FAILED, LoadReport.NONE, null);
+            upstreams.end(
+                    attempt, attempt.written ? Outcome.RESET : Outcome.CONNECT_FAILED, LoadReportParser.NONE, null);
         }
     }
 
--- a/sidecar/src/main/java/gradehub/node/Upstreams.java
+++ b/sidecar/src/main/java/gradehub/node/Upstreams.java
@@ -21,9 +21,9 @@
 final class Upstreams {
 
     private static final System.Logger LOG = System.getLogger("gradehub");
-    static final int MOST_BODY_BYTES = 64 * 1024;
+    static final int MAX_BODY_BYTES = 64 * 1024;
 
-    private static final double[] NO_REPORT = LoadReport.NONE;
+    private static final double[] NO_REPORT = LoadReportParser.NONE;
     /** Of the idle time after which an upstream closes: what is written to a connection then would be lost. */
     private static final double SAFE_IDLE = 0.75;
 
@@ -88,7 +88,7 @@
 
     private final EventLoop loop;
     private final Clock clock;
-    private final LoadReport reports;
+    private final LoadReportParser reports;
     private final double connectTimeoutMs;
     private final double idleMs;
     private final SocketBudget sockets;
@@ -106,7 +106,7 @@
             Listener listener) {
         this.loop = loop;
         this.clock = clock;
-        this.reports = new LoadReport(config.settings().reportFields());
+        this.reports = new LoadReportParser(config.settings().reportFields());
         this.connectTimeoutMs = config.connectTimeoutMs();
         this.idleMs = SAFE_IDLE * config.idleTimeoutMs();
         this.sockets = sockets;
@@ -122,7 +122,7 @@
 
     // ---- The list: connections follow what discovery says.
 
-    void listed(int id, Member member) {
+    void update(int id, Member member) {
         if (member.status() == Status.GONE) {
             gone(id);
             return;
@@ -243,7 +243,7 @@
     }
 
     /** Whether each idle connection can be used again. */
-    boolean haveRested() {
+    boolean canReuseIdleConnections() {
         double sinceMs = clock.nowMs() - REST_MS;
         for (Pool pool : pools.values()) {
             if (!pool.idle.isEmpty() && pool.idle.peekLast().idleSinceMs() > sinceMs) {
@@ -296,7 +296,7 @@
         return clock.nowMs();
     }
 
-    LoadReport reports() {
+    LoadReportParser reports() {
         return reports;
     }
 
--- a/sidecar/src/test/java/gradehub/node/EngineTest.java
+++ b/sidecar/src/test/java/gradehub/node/EngineTest.java
@@ -64,15 +64,15 @@
             }
 
             @Override
-            public boolean hasLeft() {
+            public boolean isDisconnected() {
                 return false;
             }
         }));
         return answer.get(RawConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS);
     }
 
-    private int inHand(Engine engine) throws Exception {
-        return loop.submit(engine::inHand).get();
+    private int requestsInFlight(Engine engine) throws Exception {
+        return loop.submit(engine::requestsInFlight).get();
     }
 
     @Test
@@ -85,7 +85,7 @@
         });
         assertEquals(502, ask(engine, 30_000).status());
         assertEquals(502, ask(engine, 30_000).status(), "the next one is told too");
-        assertEquals(0, inHand(engine));
+        assertEquals(0, requestsInFlight(engine));
     }
 
     /** A request that the module forgets still gets its one answer, or it would be lost. */
@@ -99,7 +99,7 @@
             }
         });
         assertEquals(502, ask(engine, 10).status());
-        assertEquals(0, inHand(engine));
+        assertEquals(0, requestsInFlight(engine));
         assertEquals(List.of(1), left);
     }
 
@@ -122,7 +122,7 @@
         });
         assertEquals(503, ask(engine, 30_000).status());
         assertEquals(503, ask(engine, 30_000).status());
-        assertEquals(0, inHand(engine));
+        assertEquals(0, requestsInFlight(engine));
     }
 
     /** Whatever the module believes, nothing new goes to an upstream that leaves. */
@@ -183,7 +183,7 @@
             }
         });
         assertEquals(502, ask(engine, 30_000).status());
-        assertEquals(0, inHand(engine));
+        assertEquals(0, requestsInFlight(engine));
         assertEquals(
                 List.of(
                         "request",
--- a/sidecar/src/test/java/gradehub/node/LargeListTest.java
+++ b/sidecar/src/test/java/gradehub/node/LargeListTest.java
@@ -27,13 +27,13 @@
             fixture.startWithSetting(null, "\"instances\":1,", "\"instances\":" + UPSTREAMS + ",");
             RawConnection watch = fixture.acceptWatch();
             watch.send(SidecarFixture.chunk(SidecarFixture.list(1, true, members("active", first))));
-            fixture.awaitOnEventLoop(() -> fixture.sidecar().engine().listed() == UPSTREAMS);
+            fixture.awaitOnEventLoop(() -> fixture.sidecar().engine().upstreamCount() == UPSTREAMS);
             fixture.assertServed(1, first);
             watch.send(SidecarFixture.chunk(SidecarFixture.list(2, false, members("leaving", first))));
             watch.send(SidecarFixture.chunk(SidecarFixture.list(3, false, members("left", first))));
-            fixture.awaitOnEventLoop(() -> fixture.sidecar().engine().listed() == 0);
+            fixture.awaitOnEventLoop(() -> fixture.sidecar().engine().upstreamCount() == 0);
             watch.send(SidecarFixture.chunk(SidecarFixture.list(4, false, members("active", second))));
-            fixture.awaitOnEventLoop(() -> fixture.sidecar().engine().listed() == UPSTREAMS);
+            fixture.awaitOnEventLoop(() -> fixture.sidecar().engine().upstreamCount() == UPSTREAMS);
             fixture.assertServed(2, second);
         }
     }
--- a/sidecar/src/test/java/gradehub/node/LastLookTest.java
+++ b/sidecar/src/test/java/gradehub/node/LastLookTest.java
@@ -220,7 +220,7 @@
                 long sentNanos = System.nanoTime();
                 watch.send(SidecarFixture.chunk(SidecarFixture.list(
                         2, false, SidecarFixture.member("u2", SidecarFixture.address(slow.listener), "active"))));
-                fixture.awaitOnEventLoop(() -> fixture.sidecar().engine().listed() == 2);
+                fixture.awaitOnEventLoop(() -> fixture.sidecar().engine().upstreamCount() == 2);
                 up.reset();
                 while (System.nanoTime() - sentNanos < TimeUnit.MILLISECONDS.toNanos(windowMs)) {
                     Thread.onSpinWait();
--- a/sidecar/src/test/java/gradehub/node/SpoiltAnswerTest.java
+++ b/sidecar/src/test/java/gradehub/node/MalformedAnswerTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Upstreams that answer what can't be used, or more than was asked for. */
-class SpoiltAnswerTest {
+class MalformedAnswerTest {
 
     private SidecarFixture fixture;
     private ServerSocket upstream;
@@ -174,8 +174,8 @@
     /** With a 0 or a NaN in place of what can't be read, an upstream would look idle. */
     @Test
     void aReportThatCannotBeReadIsNone() {
-        LoadReport reports = new LoadReport(List.of("rps", "cpu"));
-        assertArrayEquals(new double[] {2, 0.5}, reports.read("cpu=0.5, rps=2"));
+        LoadReportParser reports = new LoadReportParser(List.of("rps", "cpu"));
+        assertArrayEquals(new double[] {2, 0.5}, reports.parse("cpu=0.5, rps=2"));
         for (String bad : List.of(
                 "",
                 "=,=",
@@ -188,7 +188,7 @@
                 "rps=-2,cpu=1",
                 "rps=2,cpu=1e999",
                 "rps=two,cpu=1")) {
-            assertEquals(0, reports.read(bad).length, bad);
+            assertEquals(0, reports.parse(bad).length, bad);
         }
     }
 }
--- a/sidecar/src/test/java/gradehub/node/RepeatTest.java
+++ b/sidecar/src/test/java/gradehub/node/RetryTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 
 /** What goes out again and what does not, by what the settings say of its class. */
-class RepeatTest {
+class RetryTest {
 
     private static final String EFFECT_OF_SAFE = "60000,\"idempotency\":\"retryable\"";
     private static final String EFFECT_OF_UNSAFE = "60000,\"idempotency\":\"fragile\"";
--- a/sidecar/src/test/java/gradehub/node/SidecarFixture.java
+++ b/sidecar/src/test/java/gradehub/node/SidecarFixture.java
@@ -168,12 +168,12 @@
 
     /** Waits until the sidecar has exactly this many requests in flight. */
     void awaitRequestsInFlight(int requests) throws Exception {
-        awaitOnEventLoop(() -> sidecar.engine().inHand() == requests);
+        awaitOnEventLoop(() -> sidecar.engine().requestsInFlight() == requests);
     }
 
     /** Waits until idle upstream connections may be reused. */
     void awaitIdleUpstreams() throws Exception {
-        awaitOnEventLoop(() -> sidecar.engine().upstreamsHaveRested());
+        awaitOnEventLoop(() -> sidecar.engine().canReuseIdleConnections());
     }
 
     /** Waits until the condition, evaluated on the event loop, is true. */
--- a/sidecar/src/test/java/gradehub/node/SidecarTest.java
+++ b/sidecar/src/test/java/gradehub/node/SidecarTest.java
@@ -271,7 +271,7 @@
 
     @Test
     void aBodyOf64KiBGoesBothWays() throws Exception {
-        String body = "b".repeat(Upstreams.MOST_BODY_BYTES);
+        String body = "b".repeat(Upstreams.MAX_BODY_BYTES);
         try (RawConnection client = startWithOne()) {
             client.send(SidecarFixture.postRequest(SidecarFixture.requestId(1), body));
             RawConnection up = SidecarFixture.accept(upstream);
