--- a/sidecar/src/main/java/gradehub/node/Answer.java
+++ b/sidecar/src/main/java/gradehub/node/Answer.java
@@ -1,16 +1,16 @@
 package gradehub.node;
 
-/** The final answer to a client's request; {@code retryAfterMs} 0 gives no advice, {@code contentType} may be null. */
+/** The final answer to a client's request; {@code retryAfterMs} is 0 if no Retry-After applies, {@code contentType} may be null. */
 record Answer(int status, double retryAfterMs, String contentType, byte[] body) {
 
     private static final byte[] NO_BODY = {};
 
-    /** Coming again is harmless. */
+    /** The request did not run; retrying it is safe. */
     static Answer refused(double retryAfterMs) {
         return new Answer(503, retryAfterMs, null, NO_BODY);
     }
 
-    /** Nothing is promised; never 429 or 503, which would say that coming again is harmless. */
+    /** The request may have run: never 429 or 503, which would signal that a retry is safe. */
     static Answer failed() {
         return new Answer(502, 0, null, NO_BODY);
     }
--- a/sidecar/src/main/java/gradehub/node/AnswerDecoder.java
+++ b/sidecar/src/main/java/gradehub/node/AnswerDecoder.java
@@ -5,7 +5,7 @@
 import io.netty.handler.codec.http.HttpResponseDecoder;
 import io.netty.util.AsciiString;
 
-/** Reads an upstream's answers, and tells whether anything is left over behind one. */
+/** Decodes an upstream's answers and tracks whether bytes remain after one. */
 final class AnswerDecoder extends HttpResponseDecoder {
 
     private boolean partial;
@@ -14,11 +14,11 @@
         super(new HttpDecoderConfig());
     }
 
-    /** A line with no colon right behind its name is no header, and what it stands in no answer. */
+    /** Rejects an answer with a header line that has no colon directly after the name. */
     @Override
     protected AsciiString splitHeaderName(byte[] line, int start, int length) {
         if (start + length >= line.length || line[start + length] != ':') {
-            throw new IllegalArgumentException("a header without a colon");
+            throw new IllegalArgumentException("header line without a colon after the name");
         }
         return super.splitHeaderName(line, start, length);
     }
@@ -29,12 +29,12 @@
         super.channelRead(context, message);
     }
 
-    /** An answer has been read; what is here now is the beginning of another, or noise. */
-    void completed() {
+    /** Called after each complete answer; remaining bytes start another answer or are invalid. */
+    void answerCompleted() {
         partial = actualReadableBytes() > 0;
     }
 
-    /** Whether an answer has begun and not ended. */
+    /** Whether an answer has started and is not complete. */
     boolean isPartial() {
         return partial;
     }
--- a/sidecar/src/main/java/gradehub/node/Clock.java
+++ b/sidecar/src/main/java/gradehub/node/Clock.java
@@ -1,8 +1,8 @@
 package gradehub.node;
 
 /**
- * Unix time in milliseconds, as discovery's start times are. It is read off the system's clock once and then goes by
- * the monotonic one, so that it never goes back, whatever is done to the system's clock later.
+ * Unix time in milliseconds, as in discovery's start times. The system clock is read once at the start; from then on
+ * the monotonic clock advances the time, so that later changes to the system clock never move it backwards.
  */
 final class Clock {
 
--- a/sidecar/src/main/java/gradehub/node/Engine.java
+++ b/sidecar/src/main/java/gradehub/node/Engine.java
@@ -28,38 +28,38 @@
 import java.util.stream.Collectors;
 
 /**
- * Owns the decision module: tells it what happens on the sockets and does what it asks for. All of it runs on the one
- * event loop. The module acts during its call, so what its actions bring about is queued and told after the call.
+ * Runs the decision module: delivers network events to it and carries out its actions, all on one event loop. The
+ * module calls actions while it handles an event, so events that result from them are queued until it returns.
  */
 final class Engine implements Balancer.Actions, Upstreams.Listener {
 
-    /** Where the final answer of a request goes. */
+    /** Receives the final answer to a request. */
     interface Client {
         void answer(Answer answer);
 
-        /** Whether its connection has ended, also where the event loop has not come to that yet. */
+        /** Whether the connection has ended, even if the event loop has not processed its end yet. */
         boolean isDisconnected();
     }
 
-    /** Where the module's wishes about the list of upstreams go. */
+    /** Provides the list of upstreams when the module asks for it. */
     interface ListSource {
         void subscribe(boolean on);
 
         void fetch();
     }
 
-    /** A client's request in hand: until its final answer is out and each of its attempts has ended. */
+    /** A client's request in progress, kept until it is answered and all of its attempts have ended. */
     static final class Exchange {
         private final int id;
         private final ClientRequest request;
         private final Client client;
         private final double deadlineMs;
         private final List<Upstreams.Attempt> attempts = new ArrayList<>(2);
-        private int out;
-        /** Answered, or left by its client: nothing is owed any more and nothing more is sent for it. */
-        private boolean over;
+        private int attemptsInFlight;
+        /** Answered or abandoned by its client: no further answer is due and no further attempt is sent. */
+        private boolean closed;
 
-        private Future<?> overdue;
+        private Future<?> deadlineTimer;
 
         private Exchange(int id, ClientRequest request, Client client, double deadlineMs) {
             this.id = id;
@@ -73,10 +73,10 @@
         }
     }
 
-    /** Something that the module is to be told; {@code about} is null where it concerns no single request. */
-    private record Event(Exchange about, DoubleConsumer telling) {}
+    /** An event for the module; {@code exchange} is null if it does not belong to a single request. */
+    private record Event(Exchange exchange, DoubleConsumer notification) {}
 
-    /** A class with a name, which the training run can load though no client leaves in time. */
+    /** A listedIds class, so that the training run can load it even if no client disconnects during the run. */
     private record ClientLeft(Balancer balancer, int request) implements DoubleConsumer {
         @Override
         public void accept(double nowMs) {
@@ -95,10 +95,10 @@
     private final Balancer balancer;
     private final Map<Integer, Exchange> exchanges = new HashMap<>();
     private final Map<String, Integer> memberIds = new HashMap<>();
-    private final StartTimes starts = new StartTimes();
+    private final StartTimes startTimes = new StartTimes();
     private final ArrayDeque<Event> events = new ArrayDeque<>();
-    private boolean telling;
-    private ListSource lists;
+    private boolean dispatching;
+    private ListSource listSource;
     private int lastRequest;
     private int lastMember;
 
@@ -107,50 +107,50 @@
             Clock clock,
             Config config,
             SocketBudget sockets,
-            Supplier<LookingChannel> opened,
-            Function<Balancer.Actions, Balancer> module) {
+            Supplier<LookingChannel> channelFactory,
+            Function<Balancer.Actions, Balancer> balancerFactory) {
         this.loop = loop;
         this.clock = clock;
         this.settings = config.settings();
         this.slackMs = config.answerSlackMs();
-        this.upstreams = new Upstreams(loop, clock, config, sockets, opened, this);
-        this.balancer = module.apply(this);
+        this.upstreams = new Upstreams(loop, clock, config, sockets, channelFactory, this);
+        this.balancer = balancerFactory.apply(this);
         this.balancer.clientRoom(sockets.mostRequests());
     }
 
-    void start(ListSource discovery) {
-        lists = discovery;
-        tell(null, now -> balancer.start(now)); // a reference to a method of an interface can't be archived
+    void start(ListSource listSource) {
+        this.listSource = listSource;
+        post(null, now -> balancer.start(now)); // a reference to an interface method can't be archived
     }
 
-    /** How many requests have no answer yet, or attempts that are still out. */
+    /** The number of requests that are unanswered or still have attempts in flight. */
     int requestsInFlight() {
         return exchanges.size();
     }
 
-    /** How many upstreams are listed, whatever their state. */
+    /** The number of listed upstreams, in any state. */
     int upstreamCount() {
         return memberIds.size();
     }
 
-    /** Whether each idle connection to an upstream can be used again. */
+    /** Whether every idle upstream connection can be reused now. */
     boolean canReuseIdleConnections() {
         return upstreams.canReuseIdleConnections();
     }
 
-    // ---- What happens: told to the module in the order in which it happened.
+    // ---- Events, delivered to the module in the order in which they happened.
 
-    /** A request that may have waited for {@code unreadMs} before it was read: its client counts that as well. */
-    Exchange request(ClientRequest request, double unreadMs, Client client) {
-        double remainingMs = Math.max(0, request.remainingMs() - unreadMs);
+    /** Starts a request; {@code queuedMs}, the time it waited before it was read, counts against its deadline. */
+    Exchange request(ClientRequest request, double queuedMs, Client client) {
+        double remainingMs = Math.max(0, request.remainingMs() - queuedMs);
         Exchange exchange = new Exchange(++lastRequest, request, client, clock.nowMs() + remainingMs);
         exchanges.put(exchange.id, exchange);
-        // The module answers before the deadline. Should it ever not, the client still gets its one answer.
-        exchange.overdue = schedule(remainingMs + slackMs / 2, () -> {
-            LOG.log(System.Logger.Level.WARNING, "a request was left unanswered up to its deadline");
+        // The module should answer before the deadline; this timer makes sure that the client gets an answer.
+        exchange.deadlineTimer = schedule(remainingMs + slackMs / 2, () -> {
+            LOG.log(System.Logger.Level.WARNING, "the decision module did not answer a request before its deadline");
             abandon(exchange);
         });
-        tell(
+        post(
                 exchange,
                 now -> balancer.request(
                         now,
@@ -165,32 +165,32 @@
     }
 
     void clientLeft(Exchange exchange) {
-        if (!exchange.over) {
+        if (!exchange.closed) {
             close(exchange);
-            tellClientLeft(exchange);
+            notifyClientLeft(exchange);
         }
     }
 
-    private void tellClientLeft(Exchange exchange) {
-        tell(exchange, new ClientLeft(balancer, exchange.id));
+    private void notifyClientLeft(Exchange exchange) {
+        post(exchange, new ClientLeft(balancer, exchange.id));
     }
 
     @Override
-    public boolean isWanted(Upstreams.Attempt attempt) {
+    public boolean canStillSend(Upstreams.Attempt attempt) {
         Exchange exchange = attempt.exchange;
         if (exchange.client.isDisconnected()) {
             clientLeft(exchange);
         }
-        return !exchange.over && isHarmless(attempt);
+        return !exchange.closed && isSafeToSend(attempt);
     }
 
-    /** A keyed request that may have run goes out again only while upstreams still know its key. */
-    private boolean isHarmless(Upstreams.Attempt attempt) {
+    /** A keyed request that may have run is retried only while upstreams still remember its idempotency key. */
+    private boolean isSafeToSend(Upstreams.Attempt attempt) {
         RequestClass spec = settings.classes().get(attempt.exchange.request.requestClass());
-        double sinceMs = clock.nowMs() - spec.windowMs();
+        double windowStartMs = clock.nowMs() - spec.windowMs();
         return spec.effect() != Effect.KEYED
                 || attempt.exchange.attempts.stream()
-                        .allMatch(other -> other == attempt || !other.mayHaveRun() || other.sentMs > sinceMs);
+                        .allMatch(other -> other == attempt || !other.mayHaveRun() || other.sentMs > windowStartMs);
     }
 
     @Override
@@ -199,8 +199,8 @@
         if (answer != null) {
             finish(exchange, answer);
         }
-        tell(exchange, now -> {
-            exchange.out--;
+        post(exchange, now -> {
+            exchange.attemptsInFlight--;
             balancer.attemptEnded(
                     now,
                     new AttemptEnd(
@@ -209,103 +209,103 @@
                             attempt.upstream,
                             outcome,
                             attempt.elapsedMs(),
-                            exchange.over,
+                            exchange.closed,
                             report));
         });
     }
 
     /**
-     * A list, where discovery had last been heard so long before. An upstream that is to be sent to is known here before
-     * the module hears of it; one that is not, after.
+     * Applies a list of upstreams; {@code silentMs} is the time since discovery was last heard from. Ready upstreams are
+     * registered here before the module is notified, all others are updated afterwards.
      */
     void upstreams(ListKind kind, Update update, double silentMs) {
         Map<Boolean, List<Member>> byReady =
                 update.members().stream().collect(Collectors.partitioningBy(member -> member.status() == Status.READY));
-        Set<Integer> named = new HashSet<>();
+        Set<Integer> listedIds = new HashSet<>();
         List<Upstream> entries = new ArrayList<>();
         for (Member member : update.members()) {
             int id = memberIds.computeIfAbsent(member.id(), name -> ++lastMember);
-            named.add(id);
+            listedIds.add(id);
             entries.add(new Upstream(
                     id,
                     member.status(),
-                    starts.startedMs(member.id(), member.startedMs(), clock.nowMs(), silentMs),
+                    startTimes.startedMs(member.id(), member.startedMs(), clock.nowMs(), silentMs),
                     member.zone(),
                     member.kind(),
                     member.cell(),
                     member.weight()));
         }
         byReady.get(true).forEach(member -> upstreams.update(memberIds.get(member.id()), member));
-        // What then fails at an upstream that is gone finds the module knowing that.
-        tell(null, now -> balancer.upstreams(now, kind, entries));
-        byReady.get(false).forEach(this::notReady);
+        // The module learns that an upstream is gone before attempts fail because of it.
+        post(null, now -> balancer.upstreams(now, kind, entries));
+        byReady.get(false).forEach(this::updateUnavailable);
         if (kind != ListKind.DELTA) {
             List<String> missing = memberIds.keySet().stream()
-                    .filter(name -> !named.contains(memberIds.get(name)))
+                    .filter(name -> !listedIds.contains(memberIds.get(name)))
                     .toList();
-            missing.forEach(this::gone);
+            missing.forEach(this::remove);
         }
     }
 
-    private void notReady(Member member) {
+    private void updateUnavailable(Member member) {
         if (member.status() == Status.GONE) {
-            gone(member.id());
+            remove(member.id());
         } else {
             upstreams.update(memberIds.get(member.id()), member);
         }
     }
 
-    /** Should the same one come back, it gets a new number, as any other. */
-    private void gone(String member) {
+    /** A member that comes back gets a new id, like any new member. */
+    private void remove(String member) {
         Integer id = memberIds.remove(member);
         if (id != null) {
-            upstreams.gone(id);
+            upstreams.remove(id);
         }
     }
 
     void listFailed() {
-        tell(null, now -> balancer.upstreams(now, ListKind.FAILED, List.of()));
+        post(null, now -> balancer.upstreams(now, ListKind.FAILED, List.of()));
     }
 
-    private void tell(Exchange about, DoubleConsumer what) {
-        events.add(new Event(about, what));
-        if (telling) {
+    private void post(Exchange exchange, DoubleConsumer notification) {
+        events.add(new Event(exchange, notification));
+        if (dispatching) {
             return;
         }
-        telling = true;
+        dispatching = true;
         for (Event event = events.poll(); event != null; event = events.poll()) {
-            tellOne(event);
+            dispatch(event);
         }
-        telling = false;
+        dispatching = false;
     }
 
-    /** An exception ends the request that it concerns, not the sidecar. */
-    private void tellOne(Event event) {
-        Exchange about = event.about();
+    /** An exception from the module fails the request concerned but does not stop the sidecar. */
+    private void dispatch(Event event) {
+        Exchange exchange = event.exchange();
         try {
-            event.telling().accept(clock.nowMs());
+            event.notification().accept(clock.nowMs());
         } catch (RuntimeException e) {
-            LOG.log(System.Logger.Level.ERROR, "the decision module failed", e);
-            if (about != null && !about.over) {
-                abandon(about);
+            LOG.log(System.Logger.Level.ERROR, "the decision module threw an exception", e);
+            if (exchange != null && !exchange.closed) {
+                abandon(exchange);
             }
         }
-        if (about != null && about.over && about.out == 0) {
-            exchanges.remove(about.id);
+        if (exchange != null && exchange.closed && exchange.attemptsInFlight == 0) {
+            exchanges.remove(exchange.id);
         }
     }
 
-    // ---- The end of a request: each goes through close(), once.
+    // ---- Completion of requests: each passes through close() once.
 
     private void close(Exchange exchange) {
-        exchange.over = true;
-        exchange.overdue.cancel(false);
-        // The module may end a request while it is told of another: this one would never be let go.
-        tell(exchange, now -> {});
+        exchange.closed = true;
+        exchange.deadlineTimer.cancel(false);
+        // The module may end a request while it handles another; this empty event makes sure that it is removed.
+        post(exchange, now -> {});
     }
 
     private void finish(Exchange exchange, Answer answer) {
-        if (exchange != null && !exchange.over) {
+        if (exchange != null && !exchange.closed) {
             close(exchange);
             exchange.client.answer(answer);
         }
@@ -314,30 +314,31 @@
     private void abandon(Exchange exchange) {
         finish(exchange, Answer.failed());
         for (Upstreams.Attempt attempt : List.copyOf(exchange.attempts)) {
-            upstreams.giveUp(attempt, Outcome.CANCELLED);
+            upstreams.abort(attempt, Outcome.CANCELLED);
         }
-        tellClientLeft(exchange);
+        notifyClientLeft(exchange);
     }
 
-    // ---- What the module asks for.
+    // ---- The module's actions.
 
     @Override
     public void send(int request, int upstream, double timeoutMs) {
         Exchange exchange = exchanges.get(request);
         if (exchange == null) {
-            LOG.log(System.Logger.Level.ERROR, "the decision module sends for a request that is not in hand");
+            LOG.log(System.Logger.Level.ERROR, "the decision module sent an attempt for an unknown request");
             return;
         }
         double nowMs = clock.nowMs();
-        double leftMs = exchange.deadlineMs - nowMs;
-        double capMs = timeoutMs == 0 ? leftMs : Math.min(timeoutMs, leftMs);
-        Upstreams.Attempt attempt = new Upstreams.Attempt(exchange, exchange.attempts.size(), upstream, nowMs, capMs);
+        double remainingMs = exchange.deadlineMs - nowMs;
+        double attemptTimeoutMs = timeoutMs == 0 ? remainingMs : Math.min(timeoutMs, remainingMs);
+        Upstreams.Attempt attempt =
+                new Upstreams.Attempt(exchange, exchange.attempts.size(), upstream, nowMs, attemptTimeoutMs);
         exchange.attempts.add(attempt);
-        exchange.out++;
-        if (exchange.over || attempt.number >= settings.limits().maxAttempts() || leftMs <= 0) {
-            upstreams.giveUp(attempt, Outcome.NOT_SENT);
-        } else if (capMs <= 0) {
-            upstreams.giveUp(attempt, Outcome.TIMEOUT);
+        exchange.attemptsInFlight++;
+        if (exchange.closed || attempt.number >= settings.limits().maxAttempts() || remainingMs <= 0) {
+            upstreams.abort(attempt, Outcome.NOT_SENT);
+        } else if (attemptTimeoutMs <= 0) {
+            upstreams.abort(attempt, Outcome.TIMEOUT);
         } else {
             upstreams.send(attempt);
         }
@@ -357,29 +358,29 @@
     public void cancel(int request, int attempt) {
         Exchange exchange = exchanges.get(request);
         if (exchange != null && attempt >= 0 && attempt < exchange.attempts.size()) {
-            upstreams.giveUp(exchange.attempts.get(attempt), Outcome.CANCELLED);
+            upstreams.abort(exchange.attempts.get(attempt), Outcome.CANCELLED);
         }
     }
 
-    /** No deployment of this sidecar allows probes; one that is asked for all the same proves nothing. */
+    /** No deployment of this sidecar allows probes; a probe that is requested anyway is reported as not sent. */
     @Override
     public void probe(int upstream) {
-        tell(null, now -> balancer.probeEnded(now, upstream, Outcome.NOT_SENT, 0, NO_REPORT));
+        post(null, now -> balancer.probeEnded(now, upstream, Outcome.NOT_SENT, 0, NO_REPORT));
     }
 
     @Override
     public void timer(double delayMs, int token) {
-        schedule(delayMs, () -> tell(null, now -> balancer.timer(now, token)));
+        schedule(delayMs, () -> post(null, now -> balancer.timer(now, token)));
     }
 
     @Override
     public void subscribe(boolean on) {
-        lists.subscribe(on);
+        listSource.subscribe(on);
     }
 
     @Override
     public void fetchList() {
-        lists.fetch();
+        listSource.fetch();
     }
 
     @Override
--- a/sidecar/src/main/java/gradehub/node/LoadReportParser.java
+++ b/sidecar/src/main/java/gradehub/node/LoadReportParser.java
@@ -2,38 +2,40 @@
 
 import java.util.List;
 
-/** Reads what an upstream tells of its load. */
+/** Parses the load reports of upstreams. */
 record LoadReportParser(List<String> fields) {
 
     static final double[] NONE = {};
 
     /**
-     * The figures in the order of the settings. Where one is missing or can't be one there is no report: with a 0 in
-     * its place an upstream would look idle.
+     * Returns the values in the order of the settings, or {@link #NONE} if a value is missing or invalid: with a 0 in
+     * its place the upstream would appear idle.
      */
     double[] parse(String header) {
         if (header == null || fields.isEmpty()) {
             return NONE;
         }
         double[] report = new double[fields.size()];
-        boolean[] given = new boolean[fields.size()];
+        boolean[] present = new boolean[fields.size()];
         for (String part : header.split(",")) {
-            int split = part.indexOf('=');
-            int field = split < 0 ? -1 : fields.indexOf(part.substring(0, split).trim());
+            int separator = part.indexOf('=');
+            int field = separator < 0
+                    ? -1
+                    : fields.indexOf(part.substring(0, separator).trim());
             if (field >= 0) {
-                report[field] = number(part.substring(split + 1).trim());
-                given[field] = report[field] >= 0 && report[field] <= Float.MAX_VALUE;
+                report[field] = parseNumber(part.substring(separator + 1).trim());
+                present[field] = report[field] >= 0 && report[field] <= Float.MAX_VALUE;
             }
         }
-        for (boolean isThere : given) {
-            if (!isThere) {
+        for (boolean valid : present) {
+            if (!valid) {
                 return NONE;
             }
         }
         return report;
     }
 
-    private static double number(String text) {
+    private static double parseNumber(String text) {
         try {
             return Double.parseDouble(text);
         } catch (NumberFormatException e) {
--- a/sidecar/src/main/java/gradehub/node/UpstreamConnection.java
+++ b/sidecar/src/main/java/gradehub/node/UpstreamConnection.java
@@ -34,40 +34,40 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One connection to an upstream. It carries one attempt at a time, and is used again only where an answer left
- * nothing behind: what follows one would be taken for the answer to the next request.
+ * A connection to an upstream that carries one attempt at a time. It is reused only if no bytes followed the last
+ * answer, as they would be taken for the answer to the next request.
  */
 final class UpstreamConnection extends SimpleChannelInboundHandler<FullHttpResponse> {
 
     private static final System.Logger LOG = System.getLogger("gradehub");
     private static final String TURNED_AWAY = "X-Turned-Away";
     private static final String LOAD_REPORT = "X-Pressure";
-    /** They speak of this upstream at this time, not of the request. */
-    private static final Set<HttpResponseStatus> PASSING =
+    /** Client error codes that reflect the state of this upstream at this time rather than a fault of the request. */
+    private static final Set<HttpResponseStatus> TRANSIENT_STATUSES =
             Set.of(HttpResponseStatus.REQUEST_TIMEOUT, HttpResponseStatus.TOO_MANY_REQUESTS);
-    /** 1xx answers that are skipped ahead of one. */
-    private static final int MOST_INTERIM = 16;
-    /** From the first byte of an answer to its last: one that stops in between is spoilt. */
-    private static final long ANSWER_MS = 500;
-    /** After that time: one read for the last bytes, and one for the close behind them. */
-    private static final int LAST_READS = 2;
+    /** Maximum number of 1xx answers that are skipped before the final answer. */
+    private static final int MAX_INTERIM_ANSWERS = 16;
+    /** Time from the first to the last byte of an answer; an answer that takes longer fails the attempt. */
+    private static final long ANSWER_TIMEOUT_MS = 500;
+    /** Reads after that timeout: one for the last bytes, and one for the close that follows them. */
+    private static final int FINAL_READS = 2;
 
     final Upstreams.Pool pool;
     private final Upstreams upstreams;
     private final LookingChannel channel;
     private final AnswerDecoder decoder = new AnswerDecoder();
     private Attempt attempt;
-    /** Whether the first byte of the attempt may be out. */
-    private boolean writing;
+    /** Whether the first byte of the attempt may have been written. */
+    private boolean writeStarted;
 
     private boolean retired;
-    /** What came for the attempt: told at the end of the read, when it is known what follows. */
+    /** The outcome of the attempt, reported once the read completes and any bytes after the answer are known. */
     private Outcome outcome;
 
     private double[] report;
     private Answer answer;
     private boolean reusable;
-    private int interim;
+    private int interimAnswers;
     private double idleSinceMs;
 
     UpstreamConnection(Upstreams upstreams, Upstreams.Pool pool, LookingChannel channel) {
@@ -80,12 +80,13 @@
         ChannelFuture connecting = new Bootstrap()
                 .group(loop)
                 .channelFactory(() -> channel)
-                .option(ChannelOption.ALLOW_HALF_CLOSURE, true) // tells a close by the upstream from a reset
+                .option(ChannelOption.ALLOW_HALF_CLOSURE, true) // distinguishes a close by the upstream from a reset
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, timeoutMs)
                 .handler(new ChannelInitializer<SocketChannel>() {
                     @Override
-                    protected void initChannel(SocketChannel made) {
-                        made.pipeline().addLast(decoder, new HttpRequestEncoder(), joining(), UpstreamConnection.this);
+                    protected void initChannel(SocketChannel socket) {
+                        socket.pipeline()
+                                .addLast(decoder, new HttpRequestEncoder(), aggregator(), UpstreamConnection.this);
                     }
                 })
                 .connect(address);
@@ -93,47 +94,47 @@
         connecting.addListener(connected -> {
             if (!connected.isSuccess()) {
                 close();
-            } else if (attempt != null && upstreams.mayGo(attempt, pool)) {
+            } else if (attempt != null && upstreams.confirmSend(attempt, pool)) {
                 write();
             }
         });
     }
 
-    /** One that says that it is too long, or grows so, is not waited for. */
-    private static HttpObjectAggregator joining() {
+    /** Fails on an answer that declares or reaches too long a body without waiting for the rest. */
+    private static HttpObjectAggregator aggregator() {
         return new HttpObjectAggregator(Upstreams.MAX_BODY_BYTES, true) {
             @Override
             protected void handleOversizedMessage(ChannelHandlerContext context, HttpMessage oversized) {
-                context.fireExceptionCaught(new TooLongFrameException("the answer is too long"));
+                context.fireExceptionCaught(new TooLongFrameException("answer exceeds the maximum body size"));
             }
         };
     }
 
-    // ---- An attempt.
+    // ---- Attempts.
 
-    void carry(Attempt next) {
+    void assign(Attempt next) {
         attempt = next;
         next.connection = this;
-        writing = false;
+        writeStarted = false;
         reusable = false;
         outcome = null;
-        interim = 0;
+        interimAnswers = 0;
     }
 
     void write() {
-        writing = true;
-        Attempt carried = attempt;
-        channel.writeAndFlush(message(carried)).addListener(out -> {
-            if (out.isSuccess()) {
-                carried.written = true;
+        writeStarted = true;
+        Attempt sent = attempt;
+        channel.writeAndFlush(message(sent)).addListener(written -> {
+            if (written.isSuccess()) {
+                sent.written = true;
             } else {
                 close();
             }
         });
     }
 
-    private FullHttpRequest message(Attempt carried) {
-        ClientRequest request = carried.exchange.request();
+    private FullHttpRequest message(Attempt sent) {
+        ClientRequest request = sent.exchange.request();
         FullHttpRequest message = new DefaultFullHttpRequest(
                 HttpVersion.HTTP_1_1,
                 request.method(),
@@ -141,8 +142,8 @@
                 Unpooled.wrappedBuffer(request.body()),
                 request.headers().copy(),
                 DefaultHttpHeadersFactory.trailersFactory().newEmptyHeaders());
-        double leftMs = carried.capMs - (upstreams.nowMs() - carried.sentMs);
-        message.headers().set(ClientRequest.REMAINING, (long) Math.max(1, leftMs));
+        double remainingMs = sent.timeoutMs - (upstreams.nowMs() - sent.sentMs);
+        message.headers().set(ClientRequest.REMAINING, (long) Math.max(1, remainingMs));
         if (request.body().length > 0 || !request.method().name().equals("GET")) {
             HttpUtil.setContentLength(message, request.body().length);
         }
@@ -151,27 +152,27 @@
 
     @Override
     protected void channelRead0(ChannelHandlerContext context, FullHttpResponse response) {
-        decoder.completed();
+        decoder.answerCompleted();
         boolean skipped = response.status().codeClass() == HttpStatusClass.INFORMATIONAL
                 && response.decoderResult().isSuccess()
-                && interim++ < MOST_INTERIM;
+                && interimAnswers++ < MAX_INTERIM_ANSWERS;
         if (attempt == null || outcome != null) {
-            spoil(); // nobody asked for it
+            failAnswer(); // unsolicited answer
         } else if (!skipped) {
-            answered(response);
+            handleAnswer(response);
         }
     }
 
-    private void answered(FullHttpResponse response) {
+    private void handleAnswer(FullHttpResponse response) {
         if (response.decoderResult().cause() instanceof PrematureChannelClosureException) {
-            close(); // in its head
+            close(); // closed within the head
             return;
         }
         if (response.decoderResult().isFailure()
                 || !attempt.written
-                || isCoded(response)
+                || hasUnknownCoding(response)
                 || response.status().codeClass() == HttpStatusClass.INFORMATIONAL) {
-            spoil();
+            failAnswer();
             return;
         }
         reusable = HttpUtil.isKeepAlive(response) && !channel.isInputShutdown();
@@ -186,8 +187,8 @@
                 : null;
     }
 
-    /** Whether its body is in a transfer coding other than chunked, which has been undone by now. */
-    private static boolean isCoded(FullHttpResponse response) {
+    /** Whether a transfer coding other than chunked remains, which the codec has already decoded. */
+    private static boolean hasUnknownCoding(FullHttpResponse response) {
         for (String coding : response.headers().getAll(HttpHeaderNames.TRANSFER_ENCODING)) {
             if (!HttpHeaderValues.IDENTITY.contentEqualsIgnoreCase(coding.trim())) {
                 return true;
@@ -197,15 +198,15 @@
     }
 
     /**
-     * A 503 or 504 proves that nothing ran only where the upstream says so. Where the fault is the request's, no other
-     * upstream would serve it: it ends with the upstream's own word, which says nothing against the upstream.
+     * A 503 or 504 proves that the request did not run only if the upstream says so in a header. If the request itself
+     * is at fault, no other upstream would serve it: the upstream's answer is passed on and not counted against it.
      */
     private static Outcome outcome(FullHttpResponse response) {
         HttpResponseStatus status = response.status();
         if (status.equals(HttpResponseStatus.OK)) {
             return Outcome.OK;
         }
-        if (status.codeClass() == HttpStatusClass.CLIENT_ERROR && !PASSING.contains(status)) {
+        if (status.codeClass() == HttpStatusClass.CLIENT_ERROR && !TRANSIENT_STATUSES.contains(status)) {
             return Outcome.CANCELLED;
         }
         boolean turnedAway = "1".equals(response.headers().get(TURNED_AWAY))
@@ -214,8 +215,8 @@
         return turnedAway ? Outcome.REJECTED : Outcome.ERROR;
     }
 
-    /** The connection is of no further use, and neither is an attempt on it that has no answer yet. */
-    private void spoil() {
+    /** Marks the connection as not reusable and fails its attempt if that has no answer yet. */
+    private void failAnswer() {
         reusable = false;
         if (attempt != null && outcome == null) {
             upstreams.end(
@@ -228,51 +229,51 @@
     @Override
     public void channelReadComplete(ChannelHandlerContext context) {
         if (decoder.isPartial() && (attempt == null || outcome != null)) {
-            spoil();
+            failAnswer();
         }
         if (outcome != null && attempt != null) {
             upstreams.end(attempt, outcome, report, answer);
         } else if (attempt != null && decoder.isPartial()) {
-            spoilLater(attempt, LAST_READS, ANSWER_MS);
+            failIncompleteLater(attempt, FINAL_READS, ANSWER_TIMEOUT_MS);
         }
         context.fireChannelReadComplete();
     }
 
-    /** The clock alone does not tell: what came in time may lie unread. A timer set now fires behind the next read. */
-    private void spoilLater(Attempt begun, int reads, long delayMs) {
+    /** Allows further reads after the timeout, as bytes that came in time may be unread; a new timer runs after a read. */
+    private void failIncompleteLater(Attempt started, int reads, long delayMs) {
         channel.eventLoop()
                 .schedule(
                         () -> {
-                            if (begun == attempt && reads > 0) {
-                                spoilLater(begun, reads - 1, 0);
-                            } else if (begun == attempt) {
-                                spoil();
+                            if (started == attempt && reads > 0) {
+                                failIncompleteLater(started, reads - 1, 0);
+                            } else if (started == attempt) {
+                                failAnswer();
                             }
                         },
                         delayMs,
                         TimeUnit.MILLISECONDS);
     }
 
-    // ---- Its end.
+    // ---- Closing.
 
-    /** The attempt has ended: back to the pool if the answer left the connection clean, else closed. */
-    void free() {
+    /** Called at the end of the attempt: returns the connection to the pool if it is reusable, else closes it. */
+    void release() {
         attempt = null;
         answer = null;
         if (reusable && outcome != null && !retired && channel.isActive()) {
             idleSinceMs = upstreams.nowMs();
-            upstreams.idle(this);
+            upstreams.addIdle(this);
         } else {
             close();
         }
     }
 
-    /** To be used no more: what waits for it to open is not sent, what was written may finish. */
+    /** Stops further use: an attempt that waits for the connection is not sent, one that was written may finish. */
     void retire() {
         retired = true;
         if (attempt == null) {
             close();
-        } else if (!writing) {
+        } else if (!writeStarted) {
             upstreams.end(attempt, Outcome.CONNECT_FAILED, LoadReportParser.NONE, null);
         }
     }
@@ -291,8 +292,8 @@
     }
 
     /**
-     * The upstream has closed the connection. The decoder has been told before: an answer that ends by the close is
-     * whole and has been passed on by now. A reset, and a close on this side, never come here.
+     * Handles a close by the upstream. The decoder has processed it before, so an answer delimited by the close has
+     * been passed on already. A reset, or a close by this side, does not raise this event.
      */
     @Override
     public void userEventTriggered(ChannelHandlerContext context, Object event) throws Exception {
@@ -315,10 +316,10 @@
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
         if (cause instanceof TooLongFrameException) {
-            spoil();
+            failAnswer();
         } else if (!(cause instanceof IOException || cause instanceof PrematureChannelClosureException)) {
-            LOG.log(System.Logger.Level.ERROR, "a connection to an upstream ends by a defect", cause);
+            LOG.log(System.Logger.Level.ERROR, "unexpected exception on an upstream connection; closing it", cause);
         }
-        close(); // how the attempt on it ends turns on whether its last byte was out
+        close(); // the outcome of its attempt depends on whether the last byte was written
     }
 }
--- a/sidecar/src/main/java/gradehub/node/Upstreams.java
+++ b/sidecar/src/main/java/gradehub/node/Upstreams.java
@@ -17,52 +17,52 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Supplier;
 
-/** The connections to upstreams and the attempts on them: each attempt ends once, in {@link #end}. */
+/** Pools the connections to upstreams and sends attempts on them; each attempt ends exactly once, in {@link #end}. */
 final class Upstreams {
 
     private static final System.Logger LOG = System.getLogger("gradehub");
     static final int MAX_BODY_BYTES = 64 * 1024;
 
     private static final double[] NO_REPORT = LoadReportParser.NONE;
-    /** Of the idle time after which an upstream closes: what is written to a connection then would be lost. */
-    private static final double SAFE_IDLE = 0.75;
+    /** Fraction of the upstreams' idle timeout after which connections close here: a request written later could be lost. */
+    private static final double IDLE_TIMEOUT_FRACTION = 0.75;
 
-    private static final int SWEEPS_IN_IDLE = 20;
+    private static final int SWEEPS_PER_IDLE_TIMEOUT = 20;
     /**
-     * From an answer to the next request on its connection: a second answer may come late, and would be taken for
-     * the one to that. What comes in this time ends the connection instead.
+     * Delay between an answer and the next request on the same connection. A duplicate answer that arrives late would
+     * be matched to that request; one that arrives within this delay closes the connection instead.
      */
-    private static final double REST_MS = 50;
+    private static final double REUSE_DELAY_MS = 50;
 
     interface Listener {
-        /** Whether the request of an attempt has no answer yet, its client is there and its class lets it go. */
-        boolean isWanted(Attempt attempt);
+        /** Whether the attempt's request is unanswered, its client connected, and its class permits sending it now. */
+        boolean canStillSend(Attempt attempt);
 
-        /** Told of the end of each attempt; {@code answer} is there where the upstream has given the final one. */
+        /** Called once at the end of each attempt; {@code answer} is null unless the upstream gave the final answer. */
         void attemptEnded(Attempt attempt, Outcome outcome, double[] report, Answer answer);
     }
 
-    /** One attempt: out until {@code outcome} is set. */
+    /** One attempt, in flight until {@code outcome} is set. */
     static final class Attempt {
         final Engine.Exchange exchange;
         final int number;
         final int upstream;
         final double sentMs;
-        final double capMs;
+        final double timeoutMs;
         UpstreamConnection connection;
-        private Future<?> timeout;
-        /** Whether the last byte is out: from then on it may have run. */
+        private Future<?> timeoutTimer;
+        /** Whether the last byte has been written; from then on the upstream may have run the request. */
         boolean written;
 
         private Outcome outcome;
         private double elapsedMs;
 
-        Attempt(Engine.Exchange exchange, int number, int upstream, double sentMs, double capMs) {
+        Attempt(Engine.Exchange exchange, int number, int upstream, double sentMs, double timeoutMs) {
             this.exchange = exchange;
             this.number = number;
             this.upstream = upstream;
             this.sentMs = sentMs;
-            this.capMs = capMs;
+            this.timeoutMs = timeoutMs;
         }
 
         double elapsedMs() {
@@ -74,15 +74,15 @@
         }
     }
 
-    /** The connections to one upstream at its present address. */
+    /** The connections to one upstream at its current address. */
     static final class Pool {
         private InetSocketAddress address;
         private double startedMs;
-        /** Whether it takes nothing new. */
-        private boolean leaving;
+        /** Whether the upstream accepts no new requests. */
+        private boolean draining;
 
         private final Set<UpstreamConnection> open = new HashSet<>();
-        /** Those that carry nothing, the latest used last. */
+        /** Connections without an attempt, the most recently used last. */
         private final ArrayDeque<UpstreamConnection> idle = new ArrayDeque<>();
     }
 
@@ -92,68 +92,68 @@
     private final double connectTimeoutMs;
     private final double idleMs;
     private final SocketBudget sockets;
-    private final Supplier<LookingChannel> opened;
+    private final Supplier<LookingChannel> channelFactory;
     private final Listener listener;
     private final Map<Integer, Pool> pools = new HashMap<>();
-    private final RateLimitedLog failures = new RateLimitedLog();
+    private final RateLimitedLog connectFailureLog = new RateLimitedLog();
 
     Upstreams(
             EventLoop loop,
             Clock clock,
             Config config,
             SocketBudget sockets,
-            Supplier<LookingChannel> opened,
+            Supplier<LookingChannel> channelFactory,
             Listener listener) {
         this.loop = loop;
         this.clock = clock;
         this.reports = new LoadReportParser(config.settings().reportFields());
         this.connectTimeoutMs = config.connectTimeoutMs();
-        this.idleMs = SAFE_IDLE * config.idleTimeoutMs();
+        this.idleMs = IDLE_TIMEOUT_FRACTION * config.idleTimeoutMs();
         this.sockets = sockets;
-        this.opened = opened;
+        this.channelFactory = channelFactory;
         this.listener = listener;
-        long sweepMs = Math.max(1, Math.round(idleMs / SWEEPS_IN_IDLE));
+        long sweepMs = Math.max(1, Math.round(idleMs / SWEEPS_PER_IDLE_TIMEOUT));
         loop.scheduleWithFixedDelay(
-                () -> GuardedTask.run("closing idle connections", this::closeLongIdle),
+                () -> GuardedTask.run("closing idle connections", this::closeExpiredIdle),
                 sweepMs,
                 sweepMs,
                 TimeUnit.MILLISECONDS);
     }
 
-    // ---- The list: connections follow what discovery says.
+    // ---- Changes to the list of upstreams.
 
     void update(int id, Member member) {
         if (member.status() == Status.GONE) {
-            gone(id);
+            remove(id);
             return;
         }
         Pool pool = pools.computeIfAbsent(id, unused -> new Pool());
-        boolean another = !member.address().equals(pool.address) || member.startedMs() != pool.startedMs;
-        if (pool.address != null && another || pool.leaving != (member.status() != Status.READY)) {
+        boolean replaced = !member.address().equals(pool.address) || member.startedMs() != pool.startedMs;
+        if (pool.address != null && replaced || pool.draining != (member.status() != Status.READY)) {
             LOG.log(
                     System.Logger.Level.INFO,
                     "upstream " + id + " is " + member.id() + " at " + member.address() + ", " + member.status());
         }
         pool.address = member.address();
         pool.startedMs = member.startedMs();
-        pool.leaving = member.status() != Status.READY;
-        if (another || pool.leaving) {
+        pool.draining = member.status() != Status.READY;
+        if (replaced || pool.draining) {
             retire(pool);
         }
     }
 
-    void gone(int id) {
+    void remove(int id) {
         Pool pool = pools.remove(id);
         if (pool != null) {
-            LOG.log(System.Logger.Level.INFO, "upstream " + id + " is gone");
-            pool.leaving = true;
+            LOG.log(System.Logger.Level.INFO, "upstream " + id + " was removed from the list");
+            pool.draining = true;
             retire(pool);
         }
     }
 
     /**
-     * Closes what is idle, lets what has been written finish, and ends what still waits for a connection: it would
-     * go out after the sidecar was told that the upstream takes nothing more.
+     * Closes idle connections, lets written requests finish, and ends attempts that still wait for a connection: they
+     * would be sent after the sidecar learned that the upstream accepts no new requests.
      */
     private void retire(Pool pool) {
         for (UpstreamConnection connection : List.copyOf(pool.open)) {
@@ -170,7 +170,7 @@
         }
     }
 
-    private void closeLongIdle() {
+    private void closeExpiredIdle() {
         double sinceMs = clock.nowMs() - idleMs;
         for (Pool pool : pools.values()) {
             while (!pool.idle.isEmpty() && pool.idle.peekFirst().idleSinceMs() <= sinceMs) {
@@ -193,42 +193,43 @@
 
     void send(Attempt attempt) {
         Pool pool = pools.get(attempt.upstream);
-        if (pool != null && !mayGo(attempt, pool)) {
+        if (pool != null && !confirmSend(attempt, pool)) {
             return;
         }
-        UpstreamConnection rested = pool == null ? null : rested(pool);
-        if (pool == null || rested == null && !sockets.hasRoomForUpstream() && !closeOneIdle()) {
+        UpstreamConnection reused = pool == null ? null : takeIdle(pool);
+        if (pool == null || reused == null && !sockets.hasRoomForUpstream() && !closeOneIdle()) {
             end(attempt, Outcome.CONNECT_FAILED, NO_REPORT, null);
             return;
         }
-        attempt.timeout = loop.schedule(
-                () -> giveUp(attempt, Outcome.TIMEOUT), Math.round(attempt.capMs * 1000), TimeUnit.MICROSECONDS);
-        if (rested == null) {
+        attempt.timeoutTimer = loop.schedule(
+                () -> abort(attempt, Outcome.TIMEOUT), Math.round(attempt.timeoutMs * 1000), TimeUnit.MICROSECONDS);
+        if (reused == null) {
             connect(pool, attempt);
         } else {
-            rested.carry(attempt);
-            rested.write();
+            reused.assign(attempt);
+            reused.write();
         }
     }
 
     /**
-     * The last look before a connection is opened for an attempt, and again before its first byte: wherever it has
-     * waited, it goes only if it is wanted, in time and welcome there. Else it ends here, and the module decides.
+     * Checks an attempt before a connection is channelFactory for it, and again before its first byte is written: its request
+     * still needs it, its timeout has not passed and the upstream accepts requests. Otherwise ends the attempt, and the
+     * module decides what follows.
      */
-    boolean mayGo(Attempt attempt, Pool pool) {
-        if (!listener.isWanted(attempt)) {
+    boolean confirmSend(Attempt attempt, Pool pool) {
+        if (!listener.canStillSend(attempt)) {
             end(attempt, Outcome.NOT_SENT, NO_REPORT, null);
-        } else if (clock.nowMs() - attempt.sentMs >= attempt.capMs) {
-            giveUp(attempt, Outcome.TIMEOUT);
-        } else if (pool.leaving) {
+        } else if (clock.nowMs() - attempt.sentMs >= attempt.timeoutMs) {
+            abort(attempt, Outcome.TIMEOUT);
+        } else if (pool.draining) {
             end(attempt, Outcome.CONNECT_FAILED, NO_REPORT, null);
         }
         return attempt.outcome == null;
     }
 
-    /** On one that is not quiet something has come that nobody asked for: it would be taken for the next answer. */
-    private UpstreamConnection rested(Pool pool) {
-        double sinceMs = clock.nowMs() - REST_MS;
+    /** Takes a reusable connection; closes those with unread input, which would be taken for the next answer. */
+    private UpstreamConnection takeIdle(Pool pool) {
+        double sinceMs = clock.nowMs() - REUSE_DELAY_MS;
         for (Iterator<UpstreamConnection> latest = pool.idle.descendingIterator(); latest.hasNext(); ) {
             UpstreamConnection idle = latest.next();
             if (idle.idleSinceMs() <= sinceMs) {
@@ -242,9 +243,9 @@
         return null;
     }
 
-    /** Whether each idle connection can be used again. */
+    /** Whether every idle connection can be reused now. */
     boolean canReuseIdleConnections() {
-        double sinceMs = clock.nowMs() - REST_MS;
+        double sinceMs = clock.nowMs() - REUSE_DELAY_MS;
         for (Pool pool : pools.values()) {
             if (!pool.idle.isEmpty() && pool.idle.peekLast().idleSinceMs() > sinceMs) {
                 return false;
@@ -253,8 +254,8 @@
         return true;
     }
 
-    /** Stops waiting for an attempt, if it is still out. A time-out before its last byte went out proves no run. */
-    void giveUp(Attempt attempt, Outcome outcome) {
+    /** Ends an attempt that is in flight. A timeout before its last byte was written proves that it did not run. */
+    void abort(Attempt attempt, Outcome outcome) {
         boolean unsent = outcome == Outcome.TIMEOUT && !attempt.written;
         end(attempt, unsent ? Outcome.CONNECT_FAILED : outcome, NO_REPORT, null);
     }
@@ -265,11 +266,11 @@
         }
         attempt.outcome = outcome;
         attempt.elapsedMs = clock.nowMs() - attempt.sentMs;
-        if (attempt.timeout != null) {
-            attempt.timeout.cancel(false);
+        if (attempt.timeoutTimer != null) {
+            attempt.timeoutTimer.cancel(false);
         }
         if (attempt.connection != null) {
-            attempt.connection.free();
+            attempt.connection.release();
         }
         listener.attemptEnded(attempt, outcome, report, answer);
     }
@@ -277,20 +278,20 @@
     private void connect(Pool pool, Attempt attempt) {
         LookingChannel socket;
         try {
-            socket = opened.get();
+            socket = channelFactory.get();
         } catch (ChannelException e) {
-            failures.warn("can't open a socket for an upstream: " + e.getMessage());
+            connectFailureLog.warn("cannot open a socket for an upstream: " + e.getMessage());
             end(attempt, Outcome.CONNECT_FAILED, NO_REPORT, null);
             return;
         }
         UpstreamConnection connection = new UpstreamConnection(this, pool, socket);
-        connection.carry(attempt);
+        connection.assign(attempt);
         pool.open.add(connection);
         sockets.upstreamOpened();
-        connection.open(loop, pool.address, (int) Math.max(1, Math.min(connectTimeoutMs, attempt.capMs)));
+        connection.open(loop, pool.address, (int) Math.max(1, Math.min(connectTimeoutMs, attempt.timeoutMs)));
     }
 
-    // ---- For the connections.
+    // ---- Used by the connections.
 
     double nowMs() {
         return clock.nowMs();
@@ -300,8 +301,8 @@
         return reports;
     }
 
-    /** It carries nothing, and can be used again. */
-    void idle(UpstreamConnection connection) {
+    /** Adds a connection without an attempt to the idle ones. */
+    void addIdle(UpstreamConnection connection) {
         connection.pool.idle.addLast(connection);
     }
 
