--- a/sidecar/src/main/java/gradehub/node/Engine.java
+++ b/sidecar/src/main/java/gradehub/node/Engine.java
@@ -107,7 +107,7 @@
             Clock clock,
             Config config,
             SocketBudget sockets,
-            Supplier<LookingChannel> channelFactory,
+            Supplier<ReadAheadChannel> channelFactory,
             Function<Balancer.Actions, Balancer> balancerFactory) {
         this.loop = loop;
         this.clock = clock;
--- a/sidecar/src/main/java/gradehub/node/Upstreams.java
+++ b/sidecar/src/main/java/gradehub/node/Upstreams.java
@@ -92,7 +92,7 @@
     private final double connectTimeoutMs;
     private final double idleMs;
     private final SocketBudget sockets;
-    private final Supplier<LookingChannel> channelFactory;
+    private final Supplier<ReadAheadChannel> channelFactory;
     private final Listener listener;
     private final Map<Integer, Pool> pools = new HashMap<>();
     private final RateLimitedLog connectFailureLog = new RateLimitedLog();
@@ -102,7 +102,7 @@
             Clock clock,
             Config config,
             SocketBudget sockets,
-            Supplier<LookingChannel> channelFactory,
+            Supplier<ReadAheadChannel> channelFactory,
             Listener listener) {
         this.loop = loop;
         this.clock = clock;
@@ -276,7 +276,7 @@
     }
 
     private void connect(Pool pool, Attempt attempt) {
-        LookingChannel socket;
+        ReadAheadChannel socket;
         try {
             socket = channelFactory.get();
         } catch (ChannelException e) {
