--- a/sidecar/src/main/java/gradehub/node/Config.java
+++ b/sidecar/src/main/java/gradehub/node/Config.java
@@ -110,7 +110,7 @@
                     sockets(root),
                     root.path("known"),
                     reader.settings(),
-                    new MemberReader(reader.words("failureDomains"), reader.words("kinds")),
+                    new MemberReader(reader.strings("failureDomains"), reader.strings("kinds")),
                     reader.number("limits.connectTimeoutMs", 250),
                     reader.number("limits.connIdleMs", 15_000),
                     reader.number("contract.answerSlackMs", 0),
@@ -172,8 +172,8 @@
 
     private static int sockets(JsonNode root) throws InvalidConfigException {
         int sockets = root.path("limits").path("sockets").asInt(1024);
-        if (sockets <= SocketBudget.LEAST) {
-            throw new InvalidConfigException("limits.sockets: must be above " + SocketBudget.LEAST);
+        if (sockets <= SocketBudget.RESERVED_DESCRIPTORS) {
+            throw new InvalidConfigException("limits.sockets: must be above " + SocketBudget.RESERVED_DESCRIPTORS);
         }
         return sockets;
     }
--- a/sidecar/src/main/java/gradehub/node/UpstreamConnection.java
+++ b/sidecar/src/main/java/gradehub/node/UpstreamConnection.java
@@ -143,7 +143,7 @@
                 request.headers().copy(),
                 DefaultHttpHeadersFactory.trailersFactory().newEmptyHeaders());
         double remainingMs = sent.timeoutMs - (upstreams.nowMs() - sent.sentMs);
-        message.headers().set(ClientRequest.REMAINING, (long) Math.max(1, remainingMs));
+        message.headers().set(ClientRequest.REMAINING_MS, (long) Math.max(1, remainingMs));
         if (request.body().length > 0 || !request.method().name().equals("GET")) {
             HttpUtil.setContentLength(message, request.body().length);
         }
--- a/sidecar/src/main/java/gradehub/node/Upstreams.java
+++ b/sidecar/src/main/java/gradehub/node/Upstreams.java
@@ -197,7 +197,7 @@
             return;
         }
         UpstreamConnection reused = pool == null ? null : takeIdle(pool);
-        if (pool == null || reused == null && !sockets.hasRoomForUpstream() && !closeOneIdle()) {
+        if (pool == null || reused == null && !sockets.canOpenUpstream() && !closeOneIdle()) {
             end(attempt, Outcome.CONNECT_FAILED, NO_REPORT, null);
             return;
         }
--- a/sidecar/src/test/java/gradehub/SubscriptionTest.java
+++ b/sidecar/src/test/java/gradehub/SubscriptionTest.java
@@ -47,9 +47,12 @@
     @Test
     void afterAnyNumberOfFailedCallsTheNextOneMeetsTheTimeLimit() {
         assertTrue(
-                ListTimes.SILENCE_MS + ListTimes.PAUSE_MS + ListTimes.CONNECT_MS < ListTimes.TOLD_MS - 1000,
+                DiscoveryTimeouts.IDLE_TIMEOUT_MS
+                                + DiscoveryTimeouts.MAX_DELAY_MS
+                                + DiscoveryTimeouts.CONNECT_TIMEOUT_MS
+                        < DiscoveryTimeouts.UPDATE_DEADLINE_MS - 1000,
                 "at least one second is left for discovery to answer");
-        assertTrue(ListTimes.SILENCE_MS > 2000, "longer than the 2 s between empty lines");
+        assertTrue(DiscoveryTimeouts.IDLE_TIMEOUT_MS > 2000, "longer than the 2 s between empty lines");
         List<Double> delays = new ArrayList<>();
         for (int seed = 0; seed < 20; seed++) {
             FakeSidecar sidecar = new FakeSidecar(
@@ -63,7 +66,9 @@
                 while (sidecar.subscriptions == call) {
                     sidecar.advance(1);
                 }
-                assertTrue(sidecar.now - from <= ListTimes.PAUSE_MS + 1, "the delay is " + (sidecar.now - from));
+                assertTrue(
+                        sidecar.now - from <= DiscoveryTimeouts.MAX_DELAY_MS + 1,
+                        "the delay is " + (sidecar.now - from));
                 delays.add(sidecar.now - from);
             }
         }
