--- a/sidecar/src/test/java/gradehub/node/CloseDelimitedAnswerTest.java
+++ b/sidecar/src/test/java/gradehub/node/CloseDelimitedAnswerTest.java
@@ -26,14 +26,14 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Answers with neither a length nor chunks: the close of the connection is their end (RFC 9112, 6.3), a reset is not.
- * Each ends both behind what has been read already and together with bytes that have not.
+ * Answers with neither a length nor chunked coding: a close of the connection ends them (RFC 9112, 6.3), a reset does
+ * not. Each end is tested both after all bytes were read and together with unread bytes.
  */
 class CloseDelimitedAnswerTest {
 
     private static final String HEAD = "HTTP/1.1 200 OK\r\n\r\n";
     private static final String BODY = "all of it";
-    private static final int ANSWER_MS = 500; // that an answer has from its first byte to its last
+    private static final int ANSWER_TIMEOUT_MS = 500; // limit from the first to the last byte of an answer
 
     /** How a peer ends its connection. */
     private enum End {
@@ -53,7 +53,7 @@
         abstract void of(RawConnection connection) throws IOException;
     }
 
-    /** Counts what the event loop has read from upstreams: discovery says nothing in these tests. */
+    /** Counts the bytes read from upstreams; discovery sends nothing in these tests. */
     @ChannelHandler.Sharable
     private static final class ReadCounter extends ChannelInboundHandlerAdapter {
         private final AtomicLong bytes = new AtomicLong();
@@ -65,16 +65,16 @@
         }
     }
 
-    /** Holds the event loop right behind the first read from an upstream, before any timer that has become due. */
+    /** Blocks the event loop directly after the first read from an upstream, before timers that are due. */
     @ChannelHandler.Sharable
-    private static final class HoldBehindFirstRead extends ChannelInboundHandlerAdapter {
-        private final CountDownLatch holds = new CountDownLatch(1);
+    private static final class BlockAfterFirstRead extends ChannelInboundHandlerAdapter {
+        private final CountDownLatch blocked = new CountDownLatch(1);
         private final CountDownLatch released = new CountDownLatch(1);
 
         @Override
         public void channelReadComplete(ChannelHandlerContext context) throws InterruptedException {
             context.fireChannelReadComplete();
-            holds.countDown();
+            blocked.countDown();
             released.await();
         }
     }
@@ -110,7 +110,7 @@
         return channel;
     }
 
-    /** Sends a request that may not be repeated, and returns the upstream's end once that has read it. */
+    /** Sends a request that may not be retried and returns the upstream's connection once it has read the request. */
     private RawConnection request(RawConnection client, int number) throws IOException {
         client.send(SidecarFixture.postRequest(SidecarFixture.requestId(number), "x"));
         RawConnection up = SidecarFixture.accept(upstream);
@@ -119,7 +119,7 @@
         return up;
     }
 
-    /** The first part is read on its own, the rest in one go with the connection's end. */
+    /** Sends an answer whose first part is read separately, and the rest together with the end of the connection. */
     private void answer(RawConnection up, String readBefore, String readWithEnd, End end) throws Throwable {
         sendAndAwaitRead(up, readBefore);
         fixture.whileEventLoopBlocked(() -> end.of(up.send(readWithEnd)));
@@ -131,8 +131,8 @@
         fixture.awaitOnEventLoop(() -> counter.bytes.get() == expected);
     }
 
-    /** Each way to divide an answer into what is read before its end, and with it. */
-    private static Stream<Arguments> divisions() {
+    /** Splits of an answer into the part read before the end of the connection and the part read with it. */
+    private static Stream<Arguments> splits() {
         String answer = HEAD + BODY;
         int half = HEAD.length() + BODY.length() / 2;
         return Stream.of(0, HEAD.length() / 2, HEAD.length(), half, answer.length())
@@ -140,8 +140,8 @@
     }
 
     @ParameterizedTest
-    @MethodSource("divisions")
-    void aCloseEndsTheAnswer(String readBefore, String readWithEnd) throws Throwable {
+    @MethodSource("splits")
+    void closeCompletesAnswer(String readBefore, String readWithEnd) throws Throwable {
         try (RawConnection client = fixture.client()) {
             answer(request(client, 1), readBefore, readWithEnd, End.CLOSE);
             RawConnection.Message answer = client.read();
@@ -151,16 +151,16 @@
     }
 
     @ParameterizedTest
-    @MethodSource("divisions")
-    void aResetBehindTheLastByteIsNoEnd(String readBefore, String readWithEnd) throws Throwable {
+    @MethodSource("splits")
+    void resetAfterLastByteFailsAnswer(String readBefore, String readWithEnd) throws Throwable {
         try (RawConnection client = fixture.client()) {
             answer(request(client, 1), readBefore, readWithEnd, End.RESET);
             assertEquals(502, client.read().status());
         }
     }
 
-    /** Looks, on the event loop, until the end of the upstream's connection has been seen. */
-    private void lookForTheEnd() {
+    /** Polls on the event loop until the end of the upstream's connection is detected. */
+    private void awaitConnectionEnd() {
         long untilNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(RawConnection.TIMEOUT_MS);
         ReadAheadChannel channel = opened.stream()
                 .filter(ReadAheadChannel::isActive)
@@ -168,44 +168,44 @@
                 .findFirst()
                 .orElseThrow();
         while (!channel.isClosedByPeer()) {
-            assertTrue(System.nanoTime() < untilNanos, "it never ended");
+            assertTrue(System.nanoTime() < untilNanos, "end of the connection was not detected in time");
         }
     }
 
-    /** A look takes the unread bytes and the end behind them from the socket: a read finds both, and which end. */
+    /** The check for an end takes unread bytes and the end from the socket; a later read must still return both. */
     @ParameterizedTest
-    @MethodSource("divisions")
-    void aLookHidesNoEnd(String readBefore, String lookedAt) throws Throwable {
+    @MethodSource("splits")
+    void endCheckPreservesUnreadBytesAndEnd(String readBefore, String unreadPart) throws Throwable {
         for (End end : End.values()) {
             try (RawConnection client = fixture.client()) {
                 RawConnection up = request(client, end.ordinal());
                 sendAndAwaitRead(up, readBefore);
-                AtomicReference<Future<?>> look = new AtomicReference<>();
+                AtomicReference<Future<?>> check = new AtomicReference<>();
                 fixture.whileEventLoopBlocked(() -> {
-                    end.of(up.send(lookedAt));
-                    look.set(fixture.sidecar().loop().submit(this::lookForTheEnd)); // before the loop reads again
+                    end.of(up.send(unreadPart));
+                    check.set(fixture.sidecar().loop().submit(this::awaitConnectionEnd)); // runs before the next read
                 });
-                look.get().get();
+                check.get().get();
                 assertEquals(end == End.CLOSE ? 200 : 502, client.read().status());
             }
         }
     }
 
-    private static Stream<Arguments> partsOfAnAnswer() {
+    private static Stream<Arguments> partialAnswers() {
         List<String> parts = List.of("", "HTTP/1.1 200 OK\r\nX-Pa", HEAD, HEAD + BODY.substring(1));
         return parts.stream().flatMap(part -> Stream.of(Arguments.of(part, ""), Arguments.of("", part)));
     }
 
     @ParameterizedTest
-    @MethodSource("partsOfAnAnswer")
-    void aResetOnTheWayIsNoEnd(String readBefore, String readWithEnd) throws Throwable {
+    @MethodSource("partialAnswers")
+    void resetWithinAnswerFailsIt(String readBefore, String readWithEnd) throws Throwable {
         try (RawConnection client = fixture.client()) {
             answer(request(client, 1), readBefore, readWithEnd, End.RESET);
             assertEquals(502, client.read().status());
         }
     }
 
-    /** What is not delimited by the close is cut short by one. */
+    /** An answer that is not delimited by the close is truncated by it. */
     @ParameterizedTest
     @ValueSource(
             strings = {
@@ -215,7 +215,7 @@
                 "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\nall of it\r\n",
                 "HTTP/1.1 100 Continue\r\n\r\n"
             })
-    void aCloseEndsNoOtherAnswer(String part) throws Throwable {
+    void closeTruncatesDelimitedAnswer(String part) throws Throwable {
         for (int held = 0; held < 2; held++) {
             try (RawConnection client = fixture.client()) {
                 RawConnection up = request(client, held);
@@ -226,7 +226,7 @@
     }
 
     @Test
-    void anEmptyAnswerIsWholeAsWell() throws Throwable {
+    void emptyAnswerIsComplete() throws Throwable {
         try (RawConnection client = fixture.client()) {
             answer(request(client, 1), HEAD, "", End.CLOSE);
             RawConnection.Message answer = client.read();
@@ -235,10 +235,10 @@
         }
     }
 
-    /** What was made of the body can't be undone: the client would get something else than the upstream's answer. */
+    /** An unsupported transfer coding can't be decoded: the client would get a different body than the upstream sent. */
     @ParameterizedTest
     @ValueSource(strings = {"gzip\r\n\r\nall of it", "gzip, chunked\r\n\r\n9\r\nall of it\r\n0\r\n\r\n"})
-    void anAnswerInAnUnknownCodingCannotBeRead(String codingAndBody) throws Throwable {
+    void unknownTransferCodingFailsAnswer(String codingAndBody) throws Throwable {
         try (RawConnection client = fixture.client()) {
             answer(request(client, 1), "", "HTTP/1.1 200 OK\r\nTransfer-Encoding: " + codingAndBody, End.CLOSE);
             assertEquals(502, client.read().status());
@@ -247,16 +247,16 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"chunked\r\n\r\n9\r\nall of it\r\n0\r\n\r\n", "identity\r\n\r\nall of it"})
-    void anAnswerInAKnownCodingIsRead(String codingAndBody) throws Throwable {
+    void knownTransferCodingIsDecoded(String codingAndBody) throws Throwable {
         try (RawConnection client = fixture.client()) {
             answer(request(client, 1), "", "HTTP/1.1 200 OK\r\nTransfer-Encoding: " + codingAndBody, End.CLOSE);
             assertEquals(BODY, client.read().body());
         }
     }
 
-    /** It says that nothing ran, and is believed: the request goes out again. */
+    /** The answer states that the request did not run, so it is retried. */
     @Test
-    void aRequestThatIsTurnedAwayWithoutALengthIsSentAgain() throws Throwable {
+    void rejectionWithoutLengthIsRetried() throws Throwable {
         try (RawConnection client = fixture.client()) {
             String turnedAway = "HTTP/1.1 503 Service Unavailable\r\nX-Turned-Away: 1\r\n\r\nfull";
             answer(request(client, 1), "", turnedAway, End.CLOSE);
@@ -267,9 +267,9 @@
         }
     }
 
-    /** Its connection has ended one way only so far: what is written to it would be lost. */
+    /** The connection is half closed: a request written to it would be lost. */
     @Test
-    void theNextRequestGoesOverAnotherConnection() throws Throwable {
+    void nextRequestUsesAnotherConnection() throws Throwable {
         try (RawConnection client = fixture.client()) {
             RawConnection first = request(client, 1);
             answer(first, HEAD, BODY, End.CLOSE);
@@ -281,41 +281,41 @@
         }
     }
 
-    /** The timer that gives it up is due, but its last byte and its end have come in time: they lie unread. */
+    /** The answer timeout is due, but the last byte and the close arrived in time and are still unread. */
     @ParameterizedTest
     @ValueSource(strings = {"", "it"})
-    void anAnswerThatHasEndedInTimeIsNotGivenUp(String unread) throws Throwable {
-        HoldBehindFirstRead hold = new HoldBehindFirstRead();
+    void answerCompletedInTimeDoesNotTimeOut(String unread) throws Throwable {
+        BlockAfterFirstRead block = new BlockAfterFirstRead();
         try (SidecarFixture held = new SidecarFixture();
                 ServerSocket listener = held.listener()) {
             held.start(
                     SidecarFixture.list(
                             1, true, SidecarFixture.member("u1", SidecarFixture.address(listener), "active")),
-                    () -> with(hold));
+                    () -> with(block));
             try (RawConnection client = held.client()) {
                 client.send(SidecarFixture.postRequest(SidecarFixture.requestId(1), "x"));
                 RawConnection up = SidecarFixture.accept(listener);
                 up.read();
                 up.send(HEAD + "all of ");
-                hold.holds.await();
+                block.blocked.await();
                 long heldNanos = System.nanoTime();
                 up.send(unread).close();
-                while (System.nanoTime() - heldNanos < TimeUnit.MILLISECONDS.toNanos(ANSWER_MS)) {
+                while (System.nanoTime() - heldNanos < TimeUnit.MILLISECONDS.toNanos(ANSWER_TIMEOUT_MS)) {
                     Thread.onSpinWait();
                 }
-                hold.released.countDown();
+                block.released.countDown();
                 RawConnection.Message answer = client.read();
                 assertEquals(200, answer.status());
                 assertEquals("all of " + unread, answer.body());
             } finally {
-                hold.released.countDown();
+                block.released.countDown();
             }
         }
     }
 
-    /** While the connection stays open nothing tells whether more is to come: it is given up as any other in part. */
+    /** While the connection is open the answer may be incomplete, so it times out like any other partial answer. */
     @Test
-    void anAnswerThatIsNeverEndedIsNotWaitedFor() throws Throwable {
+    void unfinishedAnswerTimesOut() throws Throwable {
         try (RawConnection client = fixture.client()) {
             RawConnection up = request(client, 1);
             up.send(HEAD + BODY);
--- a/sidecar/src/test/java/gradehub/node/EngineTest.java
+++ b/sidecar/src/test/java/gradehub/node/EngineTest.java
@@ -22,10 +22,10 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** How the engine drives a module, with modules that behave badly. */
+/** Tests how the engine drives a decision module, also one that misbehaves. */
 class EngineTest {
 
-    private static final int NOBODY = 99;
+    private static final int UNKNOWN_UPSTREAM = 99;
 
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
@@ -60,7 +60,7 @@
         loop.execute(() -> engine.request(request, 0, new Engine.Client() {
             @Override
             public void answer(Answer given) {
-                assertTrue(answer.complete(given), "answered once");
+                assertTrue(answer.complete(given), "answered more than once");
             }
 
             @Override
@@ -76,21 +76,21 @@
     }
 
     @Test
-    void anExceptionOfTheModuleEndsItsRequestAndNothingElse() throws Exception {
+    void moduleExceptionFailsOnlyItsRequest() throws Exception {
         Engine engine = engine(actions -> new NoOpBalancer() {
             @Override
             public void request(double nowMs, Request request) {
-                throw new IllegalStateException("on purpose, in a test");
+                throw new IllegalStateException("thrown by the test");
             }
         });
         assertEquals(502, ask(engine, 30_000).status());
-        assertEquals(502, ask(engine, 30_000).status(), "the next one is told too");
+        assertEquals(502, ask(engine, 30_000).status(), "the module still receives the next request");
         assertEquals(0, requestsInFlight(engine));
     }
 
-    /** A request that the module forgets still gets its one answer, or it would be lost. */
+    /** A request that the module never answers is answered by the engine; otherwise it would be lost. */
     @Test
-    void whatIsLeftUnansweredFailsAtItsDeadline() throws Exception {
+    void unansweredRequestFailsAtDeadline() throws Exception {
         List<Integer> left = new CopyOnWriteArrayList<>();
         Engine engine = engine(actions -> new NoOpBalancer() {
             @Override
@@ -103,9 +103,9 @@
         assertEquals(List.of(1), left);
     }
 
-    /** A request that is ended while the module is told of another one was held for good. */
+    /** A request that the module ended while it handled another event was never removed. */
     @Test
-    void whatIsEndedDuringAnotherEventIsLetGo() throws Exception {
+    void requestEndedDuringAnotherEventIsRemoved() throws Exception {
         List<Integer> waiting = new ArrayList<>();
         Engine engine = engine(actions -> new NoOpBalancer() {
             @Override
@@ -125,9 +125,9 @@
         assertEquals(0, requestsInFlight(engine));
     }
 
-    /** Whatever the module believes, nothing new goes to an upstream that leaves. */
+    /** The engine sends nothing new to a leaving upstream, even if the module asks for it. */
     @Test
-    void nothingIsSentToAnUpstreamThatLeaves() throws Exception {
+    void nothingIsSentToLeavingUpstream() throws Exception {
         List<Outcome> ends = new ArrayList<>();
         Engine engine = engine(actions -> new NoOpBalancer() {
             private int leaving;
@@ -160,25 +160,25 @@
         }
     }
 
-    /** The module acts during its call: what that brings about at once is told after the call, not within it. */
+    /** Events that result from the module's actions are delivered after its call returns, not within it. */
     @Test
-    void theModuleIsNeverEnteredTwice() throws Exception {
-        List<String> told = new ArrayList<>();
+    void moduleIsNotCalledReentrantly() throws Exception {
+        List<String> calls = new ArrayList<>();
         Engine engine = engine(actions -> new NoOpBalancer() {
             @Override
             public void request(double nowMs, Request request) {
-                told.add("request");
-                actions.send(request.id(), NOBODY, 1000); // it is not listed, and so fails at once
-                actions.send(request.id(), NOBODY, -1);
-                told.add("end of request");
+                calls.add("request");
+                actions.send(request.id(), UNKNOWN_UPSTREAM, 1000); // not listed, so the attempt fails at once
+                actions.send(request.id(), UNKNOWN_UPSTREAM, -1);
+                calls.add("end of request");
             }
 
             @Override
             public void attemptEnded(double nowMs, AttemptEnd end) {
-                told.add(end.attempt() + " " + end.outcome());
+                calls.add(end.attempt() + " " + end.outcome());
                 if (end.attempt() == 1) {
                     actions.fail(end.request());
-                    actions.send(end.request(), NOBODY, 1000);
+                    actions.send(end.request(), UNKNOWN_UPSTREAM, 1000);
                 }
             }
         });
@@ -191,6 +191,6 @@
                         "0 " + Outcome.CONNECT_FAILED,
                         "1 " + Outcome.CONNECT_FAILED,
                         "2 " + Outcome.NOT_SENT),
-                told);
+                calls);
     }
 }
--- a/sidecar/src/test/java/gradehub/node/MalformedAnswerTest.java
+++ b/sidecar/src/test/java/gradehub/node/MalformedAnswerTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Upstreams that answer what can't be used, or more than was asked for. */
+/** Upstreams that send malformed answers, or more answers than requests. */
 class MalformedAnswerTest {
 
     private SidecarFixture fixture;
@@ -31,18 +31,18 @@
         fixture.close();
     }
 
-    /** What follows an answer would be taken for the next one: a client would get what was made for another. */
+    /** Bytes after an answer would be taken for the next answer, and a client would get the answer to another request. */
     @ParameterizedTest
     @ValueSource(
             strings = {"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\none", "HTTP/1.1 200 OK\r\nContent-", "\1\2\3 noise"
             })
-    void whatFollowsAnAnswerEndsItsConnection(String behind) throws Exception {
+    void bytesAfterAnswerCloseConnection(String trailing) throws Exception {
         try (RawConnection client = fixture.client()) {
             client.send(SidecarFixture.getRequest(SidecarFixture.requestId(1)));
             RawConnection up = SidecarFixture.accept(upstream);
             up.read();
-            up.send(SidecarFixture.answer("200 OK", "one") + behind);
-            assertEquals("one", client.read().body(), "the answer itself is good");
+            up.send(SidecarFixture.answer("200 OK", "one") + trailing);
+            assertEquals("one", client.read().body(), "the answer itself is valid");
             client.send(SidecarFixture.getRequest(SidecarFixture.requestId(2)));
             RawConnection next = SidecarFixture.accept(upstream);
             assertEquals(SidecarFixture.requestId(2), next.read().header("X-Txn"));
@@ -52,9 +52,9 @@
         }
     }
 
-    /** The same where it comes while the connection is idle. */
+    /** The same for bytes that arrive while the connection is idle. */
     @Test
-    void whatComesUnaskedEndsItsConnection() throws Exception {
+    void unsolicitedBytesCloseIdleConnection() throws Exception {
         try (RawConnection client = fixture.client()) {
             client.send(SidecarFixture.getRequest(SidecarFixture.requestId(1)));
             RawConnection up = SidecarFixture.accept(upstream);
@@ -66,9 +66,9 @@
         }
     }
 
-    /** It is on its way while the next request is written: that one goes over another connection. */
+    /** A duplicate answer arrives while the next request is sent: that request must use another connection. */
     @Test
-    void aSecondAnswerThatComesLateReachesNoOtherRequest() throws Throwable {
+    void lateDuplicateAnswerReachesNoOtherRequest() throws Throwable {
         try (RawConnection client = fixture.client()) {
             client.send(SidecarFixture.postRequest(SidecarFixture.requestId(1), "x"));
             RawConnection up = SidecarFixture.accept(upstream);
@@ -76,7 +76,7 @@
             fixture.whileEventLoopBlocked(() -> {
                 up.send(SidecarFixture.answer("200 OK", "one"));
                 client.send(
-                        SidecarFixture.postRequest(SidecarFixture.requestId(2), "x")); // read right behind the answer
+                        SidecarFixture.postRequest(SidecarFixture.requestId(2), "x")); // read directly after the answer
             });
             assertEquals("one", client.read().body());
             fixture.awaitRequestsInFlight(1);
@@ -89,7 +89,7 @@
         }
     }
 
-    /** An unsafe request shows it at once: it may have run, so it fails, and the connection is not waited for. */
+    /** An unsafe request may have run, so it is not retried and fails without waiting for the connection to close. */
     @ParameterizedTest
     @ValueSource(
             strings = {
@@ -102,7 +102,7 @@
                 "ICY 200 OK\r\nContent-Length: 2\r\n\r\nok",
                 "HTTP/1.1 200 OK\r\nX-Pa"
             })
-    void aSpoiltAnswerIsAFailedAttemptThatMayHaveRun(String answer) throws Exception {
+    void malformedAnswerFailsAttemptThatMayHaveRun(String answer) throws Exception {
         try (RawConnection client = fixture.client()) {
             client.send(SidecarFixture.postRequest(SidecarFixture.requestId(1), "x"));
             RawConnection up = SidecarFixture.accept(upstream);
@@ -114,7 +114,7 @@
     }
 
     @Test
-    void aHeadWithoutEndIsNotReadOn() throws Exception {
+    void oversizedHeadFailsAttempt() throws Exception {
         try (RawConnection client = fixture.client()) {
             client.send(SidecarFixture.postRequest(SidecarFixture.requestId(1), "x"));
             RawConnection up = SidecarFixture.accept(upstream);
@@ -125,7 +125,7 @@
     }
 
     @Test
-    void interimAnswersAheadAreSkipped() throws Exception {
+    void interimAnswersAreSkipped() throws Exception {
         try (RawConnection client = fixture.client()) {
             client.send(SidecarFixture.postRequest(SidecarFixture.requestId(1), "x"));
             RawConnection up = SidecarFixture.accept(upstream);
@@ -136,9 +136,9 @@
         }
     }
 
-    /** Where the fault is the request's, another attempt would only be turned down again. */
+    /** If the request itself is at fault, another attempt would be rejected again. */
     @Test
-    void aRequestTurnedDownForItselfIsNotTriedAgain() throws Exception {
+    void clientErrorIsNotRetried() throws Exception {
         try (RawConnection client = fixture.client()) {
             client.send(SidecarFixture.getRequest(SidecarFixture.requestId(1)));
             RawConnection up = SidecarFixture.accept(upstream);
@@ -150,9 +150,9 @@
         }
     }
 
-    /** A request that waits for an upstream goes to the first that is listed: it is known before the module asks. */
+    /** A waiting request goes to the first listed upstream, which is registered before the module learns of it. */
     @Test
-    void aNewUpstreamIsSentToAtOnce() throws Exception {
+    void newUpstreamReceivesWaitingRequest() throws Exception {
         try (SidecarFixture empty = new SidecarFixture();
                 ServerSocket first = empty.listener()) {
             empty.start(SidecarFixture.list(
@@ -171,12 +171,12 @@
         }
     }
 
-    /** With a 0 or a NaN in place of what can't be read, an upstream would look idle. */
+    /** With a 0 or a NaN in place of an invalid value, an upstream would appear idle. */
     @Test
-    void aReportThatCannotBeReadIsNone() {
+    void invalidReportIsIgnored() {
         LoadReportParser reports = new LoadReportParser(List.of("rps", "cpu"));
         assertArrayEquals(new double[] {2, 0.5}, reports.parse("cpu=0.5, rps=2"));
-        for (String bad : List.of(
+        for (String invalid : List.of(
                 "",
                 "=,=",
                 "%%%",
@@ -188,7 +188,7 @@
                 "rps=-2,cpu=1",
                 "rps=2,cpu=1e999",
                 "rps=two,cpu=1")) {
-            assertEquals(0, reports.parse(bad).length, bad);
+            assertEquals(0, reports.parse(invalid).length, invalid);
         }
     }
 }
--- a/sidecar/src/test/java/gradehub/node/RetryTest.java
+++ b/sidecar/src/test/java/gradehub/node/RetryTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** What goes out again and what does not, by what the settings say of its class. */
+/** Tests which requests are retried, depending on the settings of their class. */
 class RetryTest {
 
     private static final String EFFECT_OF_SAFE = "60000,\"idempotency\":\"retryable\"";
@@ -30,8 +30,8 @@
         fixture.close();
     }
 
-    /** An upstream's connection with nothing on it, after one request of a client's. */
-    private RawConnection idle(RawConnection client) throws Exception {
+    /** Returns an idle upstream connection that has served one request. */
+    private RawConnection idleUpstreamConnection(RawConnection client) throws Exception {
         client.send(SidecarFixture.postRequest(SidecarFixture.requestId(1), "x"));
         RawConnection up = SidecarFixture.accept(upstream);
         up.read();
@@ -41,20 +41,20 @@
         return up;
     }
 
-    private void assertNextIs(int id, RawConnection client) throws Exception {
+    private void assertNextRequestIs(int id, RawConnection client) throws Exception {
         client.send(SidecarFixture.postRequest(SidecarFixture.requestId(id), "x"));
         RawConnection up = SidecarFixture.accept(upstream);
-        assertEquals(SidecarFixture.requestId(id), up.read().header("X-Txn"), "nothing came before it");
+        assertEquals(SidecarFixture.requestId(id), up.read().header("X-Txn"), "another request arrived first");
         up.send(SidecarFixture.answer("200 OK", "done"));
         assertEquals("done", client.read().body());
     }
 
-    /** The close lies unread in the socket when the request is about to be written: it goes over a new connection. */
+    /** The close is unread in the socket when the next request is sent: that request must use a new connection. */
     @Test
-    void anIdleConnectionThatHasJustBeenClosedIsNotWrittenTo() throws Throwable {
+    void closedIdleConnectionIsNotReused() throws Throwable {
         fixture.start(list);
         try (RawConnection client = fixture.client()) {
-            RawConnection up = idle(client);
+            RawConnection up = idleUpstreamConnection(client);
             fixture.whileEventLoopBlocked(() -> {
                 client.send(SidecarFixture.postRequest(SidecarFixture.requestId(2), "x"));
                 up.close();
@@ -66,22 +66,22 @@
         }
     }
 
-    /** The last byte is out, and the upstream closes without having read it: it may have run all the same. */
+    /** The upstream closes after the last byte was written but without reading it: the request may still have run. */
     @Test
-    void whatClosesRightBehindAnUnsafeRequestBringsNoRepeat() throws Exception {
+    void unsafeRequestIsNotRetriedAfterClose() throws Exception {
         fixture.start(list);
         try (RawConnection client = fixture.client()) {
-            RawConnection up = idle(client);
+            RawConnection up = idleUpstreamConnection(client);
             client.send(SidecarFixture.postRequest(SidecarFixture.requestId(2), "x"));
             up.awaitInput();
             up.close();
             assertEquals(502, client.read().status());
-            assertNextIs(3, client);
+            assertNextRequestIs(3, client);
         }
     }
 
     @Test
-    void aClassThatTheSettingsCallUnsafeIsNotRepeated() throws Exception {
+    void classConfiguredUnsafeIsNotRetried() throws Exception {
         fixture.startWithSetting(list, EFFECT_OF_SAFE, EFFECT_OF_UNSAFE);
         try (RawConnection client = fixture.client()) {
             client.send(SidecarFixture.postRequest(SidecarFixture.requestId(1), "x")
@@ -90,12 +90,12 @@
             up.read();
             up.reset();
             assertEquals(502, client.read().status());
-            assertNextIs(2, client);
+            assertNextRequestIs(2, client);
         }
     }
 
     @Test
-    void aClassThatTheSettingsCallSafeIsRepeated() throws Exception {
+    void classConfiguredSafeIsRetried() throws Exception {
         fixture.startWithSetting(list, EFFECT_OF_UNSAFE, EFFECT_OF_SAFE);
         try (RawConnection client = fixture.client()) {
             client.send(SidecarFixture.getRequest(SidecarFixture.requestId(1))
@@ -111,7 +111,7 @@
     }
 
     @Test
-    void aSafeClassIsRepeatedOnlyAsOftenAsTheSettingsAllow() throws Exception {
+    void retriesStopAtConfiguredMaxAttempts() throws Exception {
         fixture.startWithSetting(list, "\"maxAttempts\":6", "\"maxAttempts\":1");
         try (RawConnection client = fixture.client()) {
             client.send(SidecarFixture.getRequest(SidecarFixture.requestId(1)));
@@ -119,13 +119,13 @@
             up.read();
             up.reset();
             assertEquals(503, client.read().status());
-            assertNextIs(2, client);
+            assertNextRequestIs(2, client);
         }
     }
 
-    /** A client may state more patience than its class has. */
+    /** A client may state a longer deadline than its class allows; the deadline in the settings applies. */
     @Test
-    void theDeadlineOfTheSettingsEndsARequest() throws Exception {
+    void configuredDeadlineEndsRequest() throws Exception {
         fixture.startWithSetting(
                 list,
                 "20000,\"hardLimitMs\":60000,\"idempotency\":\"fragile\"",
