--- a/sidecar/src/main/java/gradehub/node/Discovery.java
+++ b/sidecar/src/main/java/gradehub/node/Discovery.java
@@ -31,105 +31,115 @@
 import java.util.function.Supplier;
 
 /**
- * The list of upstreams. Where lists are pushed, a watch is kept open at all times; where they are asked for, the
- * module says when. Each list or change of it is passed on as soon as it has been read.
+ * Client of the discovery service, which provides the list of upstreams. In push mode a watch is kept open at all
+ * times; in polling mode the balancer decides when to fetch. Each full list or delta is passed to the engine as soon as
+ * it has been parsed.
  */
 final class Discovery implements Engine.Lists {
 
     private static final System.Logger LOG = System.getLogger("gradehub");
-    private static final String LIST = "/v1/endpoints";
-    private static final long SILENCE_MS = (long) DiscoveryTimeouts.IDLE_TIMEOUT_MS;
-    private static final long FIRST_PAUSE_MS = 50;
-    private static final long LONGEST_PAUSE_MS = 1000;
-    /** Of the time in which a drain has to be kept once it is told: it may be told the moment discovery is back. */
-    private static final double PAUSE_PART = 0.5;
+    private static final String LIST_PATH = "/v1/endpoints";
+    private static final long MAX_IDLE_MS = (long) DiscoveryTimeouts.IDLE_TIMEOUT_MS;
+    private static final long INITIAL_RECONNECT_DELAY_MS = 50;
+    private static final long MAX_RECONNECT_DELAY_MS = 1000;
+    /**
+     * Limits the reconnect delay to this fraction of the grace period for drains. The period starts when discovery
+     * reports a drain, which may be the moment it recovers.
+     */
+    private static final double RECONNECT_DELAY_FRACTION = 0.5;
 
     private final EventLoop loop;
     private InetSocketAddress address;
     private final MemberReader members;
-    private final boolean asked;
+    private final boolean polling;
     private final double connectTimeoutMs;
-    private final long longestPauseMs;
+    private final long maxReconnectDelayMs;
     private final Supplier<ReadAheadChannel> sockets;
     private final Engine engine;
-    private final RateLimitedLog calls = new RateLimitedLog();
-    /** The latest list from this address, or -1: another address may count in its own way. */
+    private final RateLimitedLog closeLog = new RateLimitedLog();
+    /** Revision of the latest list from this address, or -1. Another address may number its revisions differently. */
     private long revision = -1;
 
-    /** Open until discovery itself has told a list. */
-    private final CountDownLatch answered = new CountDownLatch(1);
+    /** Released when the first list arrives from discovery itself, as opposed to the configuration. */
+    private final CountDownLatch firstList = new CountDownLatch(1);
 
-    /** When a list was last told, or a watch that had told one was heard; none yet where {@link #heard} is false. */
+    /**
+     * When a list, or any data on a connection that had delivered one, was last received. Unset while {@link #heard} is
+     * false.
+     */
     private long lastHeardNanos;
 
     private boolean heard;
-    private boolean listed;
+    private boolean listReceived;
     private boolean watching;
     private Call watch;
-    private long pauseMs;
+    private long reconnectDelayMs;
 
     Discovery(EventLoop loop, Config config, Supplier<ReadAheadChannel> sockets, Engine engine) {
         this.loop = loop;
         this.address = config.discovery();
         this.members = config.members();
-        this.asked = config.settings().askForList();
+        this.polling = config.settings().askForList();
         this.connectTimeoutMs = Math.min(config.connectTimeoutMs(), DiscoveryTimeouts.CONNECT_TIMEOUT_MS);
-        this.longestPauseMs = (long) Math.min(LONGEST_PAUSE_MS, PAUSE_PART * config.drainGraceMs());
+        this.maxReconnectDelayMs =
+                (long) Math.min(MAX_RECONNECT_DELAY_MS, RECONNECT_DELAY_FRACTION * config.drainGraceMs());
         this.sockets = sockets;
         this.engine = engine;
     }
 
-    /** How long it waits before it opens the watch again, should it break now. */
+    /** Returns the delay before the watch would be reopened if it closed now. */
     long pauseMs() {
-        return pauseMs;
+        return reconnectDelayMs;
     }
 
-    /** Begins with the list as it was last known, which may be old or missing. */
+    /** Starts from the last known list in the configuration, which may be stale or missing. */
     void start(Config config) {
         if (config.known().isObject()) {
             try {
                 Update known = members.read(config.known());
                 revision = known.revision();
-                accept(known, ListKind.CACHED);
+                apply(known, ListKind.CACHED);
             } catch (IllegalArgumentException e) {
-                LOG.log(System.Logger.Level.WARNING, "the list in the configuration is of no use: " + e.getMessage());
+                LOG.log(
+                        System.Logger.Level.WARNING,
+                        "ignoring the invalid list in the configuration: " + e.getMessage());
             }
         }
-        if (!asked) {
+        if (!polling) {
             subscribe(true);
         }
     }
 
     /**
-     * Waits, on another thread than the event loop, until discovery has told a list, for this long at the most. The list
-     * that the configuration has may name upstreams that went while the sidecar was down.
+     * Blocks until discovery has sent a list or the timeout expires. Must not be called on the event loop. The list in
+     * the configuration may name upstreams that were removed while the sidecar was down.
      */
-    void awaitAnswer(long longestMs) throws InterruptedException {
-        if (answered.getCount() == 0) {
+    void awaitAnswer(long timeoutMs) throws InterruptedException {
+        if (firstList.getCount() == 0) {
             return;
         }
-        LOG.log(System.Logger.Level.INFO, "waiting for the list of discovery");
-        if (!answered.await(longestMs, TimeUnit.MILLISECONDS)) {
-            LOG.log(System.Logger.Level.WARNING, "discovery has not answered; starting with the list that is known");
+        LOG.log(System.Logger.Level.INFO, "waiting for the list from discovery");
+        if (!firstList.await(timeoutMs, TimeUnit.MILLISECONDS)) {
+            LOG.log(System.Logger.Level.WARNING, "discovery has not answered; starting with the last known list");
         }
     }
 
     boolean hasList() {
-        return listed;
+        return listReceived;
     }
 
     /**
-     * Discovery is at another address from now on. Its whole list is asked for; until it comes, the one in hand
-     * stands. What is still under way from the old address is dropped, since it may be older.
+     * Switches to another discovery address. An open watch is replaced by one that requests the full list; the current
+     * list stays in use until that arrives. Data in flight from the old address is dropped, since it may be stale.
      */
     void moveTo(InetSocketAddress other) {
         if (other.equals(address)) {
             return;
         }
-        LOG.log(System.Logger.Level.INFO, "discovery is at " + other + " from now on");
+        LOG.log(System.Logger.Level.INFO, "discovery address changed to " + other);
         address = other;
         revision = -1;
-        pauseMs = 0;
+        reconnectDelayMs = 0;
         if (watching) {
             subscribe(true);
         }
@@ -153,58 +163,60 @@
         new Call(false);
     }
 
-    private void accept(Update update, ListKind kind) {
-        listed = true;
+    private void apply(Update update, ListKind kind) {
+        listReceived = true;
         double silentMs = heard ? (System.nanoTime() - lastHeardNanos) / 1e6 : Double.POSITIVE_INFINITY;
         engine.upstreams(kind, update, silentMs);
     }
 
-    private void heardNow() {
+    private void markHeard() {
         heard = true;
         lastHeardNanos = System.nanoTime();
     }
 
-    private void ended(Call call) {
+    private void onClosed(Call call) {
         if (call.watch && call != watch) {
-            return; // given up on purpose
+            return; // replaced or unsubscribed
         }
         if (call.watch) {
             watch = null;
         }
-        if (asked) {
-            if (call.watch || !call.whole) {
+        if (polling) {
+            if (call.watch || !call.deliveredList) {
                 engine.listFailed();
             }
         } else if (call.watch && watching) {
-            loop.schedule(this::watchAgain, pauseMs, TimeUnit.MILLISECONDS);
-            pauseMs = Math.min(longestPauseMs, Math.max(FIRST_PAUSE_MS, 2 * pauseMs));
+            loop.schedule(this::reopenWatch, reconnectDelayMs, TimeUnit.MILLISECONDS);
+            reconnectDelayMs =
+                    Math.min(maxReconnectDelayMs, Math.max(INITIAL_RECONNECT_DELAY_MS, 2 * reconnectDelayMs));
         }
     }
 
-    private void watchAgain() {
+    private void reopenWatch() {
         if (watching && watch == null) {
             watch = new Call(true);
         }
     }
 
-    /** One connection to discovery, for a watch or for the whole list once. */
+    /** One connection to discovery, used for a watch or for a single fetch of the full list. */
     private final class Call extends SimpleChannelInboundHandler<HttpObject> {
         private final boolean watch;
         private final ListStream lists;
         private final InetSocketAddress target = address;
         private final ReadAheadChannel channel;
-        private final Runnable endTask = () -> ended(this); // made once: it would be linked while requests wait
+        private final Runnable closeTask =
+                () -> onClosed(this); // created up front: linking the lambda on first use would delay requests
         private long heardNanos = System.nanoTime();
-        private boolean whole;
-        /** Why it ends, where that is known before its connection has closed. */
-        private String end = "closed by discovery";
+        private boolean deliveredList;
+        /** Reason for the close, for the log. The default applies if discovery closes the connection. */
+        private String closeReason = "closed by discovery";
 
         private Call(boolean watch) {
             this.watch = watch;
-            this.lists = new ListStream(this::take);
-            this.channel = opened();
+            this.lists = new ListStream(this::onList);
+            this.channel = openSocket();
             if (channel == null) {
-                loop.execute(endTask); // once it is known as the watch
+                loop.execute(closeTask); // deferred until the watch field refers to this call
                 return;
             }
             ChannelFuture connecting = new Bootstrap()
@@ -220,45 +232,45 @@
                     .connect(target);
             connecting.addListener(connected -> {
                 if (connected.isSuccess()) {
-                    ask();
+                    sendRequest();
                 } else {
-                    end = "can't connect: " + connected.cause().getMessage();
+                    closeReason = "connect failed: " + connected.cause().getMessage();
                 }
             });
             channel.closeFuture().addListener(closed -> {
-                calls.warn("a call to discovery at " + target + " has ended: " + end);
-                endTask.run();
+                closeLog.warn("connection to discovery at " + target + " closed: " + closeReason);
+                closeTask.run();
             });
             checkSilence();
         }
 
-        /** A socket for it, or none where that fails, as it does for want of descriptors. */
-        private ReadAheadChannel opened() {
+        /** Returns a new socket, or null if none can be opened, for example for lack of file descriptors. */
+        private ReadAheadChannel openSocket() {
             try {
                 return sockets.get();
             } catch (ChannelException e) {
-                calls.warn("can't open a socket for discovery: " + e.getMessage());
+                closeLog.warn("cannot open a socket for discovery: " + e.getMessage());
                 return null;
             }
         }
 
         private void close() {
             if (channel != null) {
-                close("given up for another");
+                close("replaced or no longer needed");
             }
         }
 
         private void close(String why) {
-            end = why;
+            closeReason = why;
             channel.close();
         }
 
-        private void ask() {
+        private void sendRequest() {
             String from = revision >= 0 ? "&from=" + revision : "";
             DefaultFullHttpRequest request = new DefaultFullHttpRequest(
                     HttpVersion.HTTP_1_1,
                     HttpMethod.GET,
-                    watch ? LIST + "?watch=1" + from : LIST,
+                    watch ? LIST_PATH + "?watch=1" + from : LIST_PATH,
                     Unpooled.EMPTY_BUFFER);
             request.headers().set(HttpHeaderNames.HOST, target.getAddress().getHostAddress() + ":" + target.getPort());
             channel.writeAndFlush(request);
@@ -266,10 +278,10 @@
 
         private void checkSilence() {
             long silentMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - heardNanos);
-            if (silentMs >= SILENCE_MS && channel.isOpenWithoutInput()) {
-                close("silent for " + silentMs + " ms");
+            if (silentMs >= MAX_IDLE_MS && channel.isOpenWithoutInput()) {
+                close("no data for " + silentMs + " ms");
             } else if (channel.isOpen()) {
-                loop.schedule(this::checkSilence, Math.max(1, SILENCE_MS - silentMs), TimeUnit.MILLISECONDS);
+                loop.schedule(this::checkSilence, Math.max(1, MAX_IDLE_MS - silentMs), TimeUnit.MILLISECONDS);
             }
         }
 
@@ -279,12 +291,15 @@
             if (message.decoderResult().isFailure()
                     || message instanceof HttpResponse response
                             && !response.status().equals(HttpResponseStatus.OK)) {
-                close(message instanceof HttpResponse response ? "status " + response.status() : "no HTTP");
+                close(
+                        message instanceof HttpResponse response
+                                ? "status " + response.status()
+                                : "invalid HTTP response");
                 return;
             }
             if (message instanceof HttpContent content) {
                 if (content.content().isReadable()) {
-                    pauseMs = 0; // discovery is well: after the next break the watch is opened again at once
+                    reconnectDelayMs = 0; // discovery responds: reopen the watch without delay after the next close
                 }
                 read(content);
             }
@@ -295,34 +310,35 @@
             try {
                 if (!isStale()) {
                     lists.read(content.content());
-                    if (whole) {
-                        heardNow();
+                    if (deliveredList) {
+                        markHeard();
                     }
                     if (last && !lists.isComplete()) {
-                        throw new IOException("its end is missing");
+                        throw new IOException("answer ends within a JSON object");
                     }
                 }
             } catch (IOException | IllegalArgumentException e) {
-                LOG.log(System.Logger.Level.WARNING, "discovery sent what is no list: " + e.getMessage());
-                pauseMs = LONGEST_PAUSE_MS; // it would most likely be sent again at once, and again
+                LOG.log(System.Logger.Level.WARNING, "invalid list from discovery: " + e.getMessage());
+                reconnectDelayMs =
+                        MAX_RECONNECT_DELAY_MS; // an immediate retry would most likely receive the same data again
                 last = true;
             }
             if (last) {
-                close("its answer is over");
+                close("end of the answer");
             }
         }
 
-        /** Whether another watch has taken its place, or discovery has moved: what it says may be older. */
+        /** Whether its data may be stale: another watch has replaced it, or discovery has moved. */
         private boolean isStale() {
             return watch && this != Discovery.this.watch || !target.equals(address);
         }
 
-        private void take(JsonNode list) {
+        private void onList(JsonNode list) {
             Update update = members.read(list);
-            whole = true;
+            deliveredList = true;
             revision = update.revision();
-            accept(update, update.complete() ? ListKind.FULL : ListKind.DELTA);
-            answered.countDown();
+            apply(update, update.complete() ? ListKind.FULL : ListKind.DELTA);
+            firstList.countDown();
         }
 
         @Override
--- a/sidecar/src/main/java/gradehub/node/ListStream.java
+++ b/sidecar/src/main/java/gradehub/node/ListStream.java
@@ -13,47 +13,47 @@
 import java.util.function.Consumer;
 
 /**
- * Reads JSON objects off a stream as they come, each told once its last byte is there: one may fill a line or, indented,
- * many. Fails with an {@link IOException} on what can be no object.
+ * Incremental parser for a stream of JSON objects. Each object is delivered as soon as its last byte has arrived; it
+ * may take one line or, if indented, several. Throws an {@link IOException} on input that cannot be a JSON object.
  */
 final class ListStream {
 
-    private static final int MOST_BYTES = 1 << 22;
+    private static final int MAX_OBJECT_BYTES = 1 << 22;
 
     private final JsonParser parser;
     private final ByteArrayFeeder feeder;
-    private final Consumer<JsonNode> whole;
+    private final Consumer<JsonNode> onObject;
     private TokenBuffer tokens;
     private int depth;
     private int bytes;
-    private boolean blank = true;
+    private boolean lineBlank = true;
 
-    ListStream(Consumer<JsonNode> whole) {
+    ListStream(Consumer<JsonNode> onObject) {
         try {
             this.parser = new JsonFactory().createNonBlockingByteArrayParser();
         } catch (IOException e) {
-            throw new UncheckedIOException(e); // it reads nothing yet
+            throw new UncheckedIOException(e); // not expected: nothing is read yet
         }
         this.feeder = (ByteArrayFeeder) parser.getNonBlockingInputFeeder();
-        this.whole = whole;
+        this.onObject = onObject;
     }
 
     void read(ByteBuf input) throws IOException {
         while (input.isReadable()) {
             int line = input.bytesBefore((byte) '\n') + 1;
-            boolean ends = line > 0;
-            byte[] part = ByteBufUtil.getBytes(input.readSlice(ends ? line : input.readableBytes()));
+            boolean endsLine = line > 0;
+            byte[] part = ByteBufUtil.getBytes(input.readSlice(endsLine ? line : input.readableBytes()));
             for (byte next : part) {
-                blank &= Character.isWhitespace(next);
+                lineBlank &= Character.isWhitespace(next);
             }
             feeder.feedInput(part, 0, part.length);
             readTokens();
             bytes += part.length;
-            if (depth > 0 && (bytes > MOST_BYTES || ends && blank)) {
-                // An empty line comes between objects alone: the end of this one has been lost.
-                throw new IOException("an object without an end");
+            if (depth > 0 && (bytes > MAX_OBJECT_BYTES || endsLine && lineBlank)) {
+                // Empty lines occur only between objects, so the rest of this one has been lost.
+                throw new IOException("JSON object is truncated or too long");
             }
-            blank |= ends;
+            lineBlank |= endsLine;
         }
     }
 
@@ -61,7 +61,7 @@
         for (JsonToken token = parser.nextToken(); token != JsonToken.NOT_AVAILABLE; token = parser.nextToken()) {
             if (depth == 0) {
                 if (token != JsonToken.START_OBJECT) {
-                    throw new IOException("no object");
+                    throw new IOException("expected a JSON object");
                 }
                 tokens = new TokenBuffer(Config.JSON, false);
                 bytes = 0;
@@ -69,7 +69,7 @@
             tokens.copyCurrentEvent(parser);
             depth += token.isStructStart() ? 1 : token.isStructEnd() ? -1 : 0;
             if (depth == 0) {
-                whole.accept(Config.JSON.readTree(tokens.asParser()));
+                onObject.accept(Config.JSON.readTree(tokens.asParser()));
             }
         }
     }
--- a/sidecar/src/main/java/gradehub/node/MemberReader.java
+++ b/sidecar/src/main/java/gradehub/node/MemberReader.java
@@ -5,10 +5,10 @@
 import java.net.InetSocketAddress;
 import java.util.List;
 
-/** Reads the entries of discovery's lists; zones and kinds go by their place in the settings. */
+/** Parses discovery's lists. Zones and kinds are mapped to their indexes in the settings. */
 record MemberReader(List<String> zones, List<String> kinds) {
 
-    /** One upstream as discovery lists it. {@code address} is null only where it is gone. */
+    /** One upstream as listed by discovery. {@code address} may be null only if the status is {@code GONE}. */
     record Member(
             String id,
             InetSocketAddress address,
@@ -19,13 +19,13 @@
             int cell,
             double weight) {}
 
-    /** One list or change of it. */
+    /** A full list or a delta. */
     record Update(long revision, boolean complete, List<Member> members) {}
 
-    /** Fails with an {@link IllegalArgumentException} on what is no list. */
+    /** Throws an {@link IllegalArgumentException} if the JSON is not a valid list. */
     Update read(JsonNode list) {
         if (!list.path("members").isArray() || !list.path("revision").canConvertToLong()) {
-            throw new IllegalArgumentException("a list of upstreams has no members or no revision");
+            throw new IllegalArgumentException("list of upstreams lacks members or a revision");
         }
         List<Member> members =
                 list.get("members").valueStream().map(this::member).toList();
@@ -37,11 +37,11 @@
         Status status = switch (entry.path("phase").asText("")) {
             case "active" -> Status.READY;
             case "left" -> Status.GONE;
-            default -> Status.DRAINING; // leaving, or a phase not known here: nothing new goes to it
+            default -> Status.DRAINING; // leaving, or an unknown phase: no new requests
         };
         InetSocketAddress address = Config.parseAddress(entry.path("host_port").asText(""));
         if (id.isEmpty() || address == null && status != Status.GONE) {
-            throw new IllegalArgumentException("upstream " + id + " has no id or no address");
+            throw new IllegalArgumentException("upstream " + id + " lacks an id or a valid address");
         }
         return new Member(
                 id,
