--- a/sidecar/src/test/java/gradehub/node/DiscoveryTest.java
+++ b/sidecar/src/test/java/gradehub/node/DiscoveryTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** What the whole sidecar does with the lists that discovery sends, over loopback sockets. */
+/** The whole sidecar's handling of discovery's lists, over loopback sockets. */
 class DiscoveryTest {
 
     private SidecarFixture fixture;
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void itIsReadyOnceItHasAList() throws Exception {
+    void readyOnceAListHasArrived() throws Exception {
         fixture.start(null);
         try (RawConnection client = fixture.client();
                 RawConnection watch = fixture.acceptWatch()) {
@@ -48,9 +48,9 @@
         }
     }
 
-    /** Nothing new goes to an upstream that drains, nor over a connection that it had before. */
+    /** A draining upstream gets no new requests, not even over an existing connection. */
     @Test
-    void aDrainingUpstreamGetsNothingNew() throws Exception {
+    void drainingUpstreamGetsNoNewRequests() throws Exception {
         try (RawConnection client = startWithOne();
                 RawConnection watch = fixture.acceptWatch();
                 ServerSocket other = fixture.listener()) {
@@ -65,7 +65,7 @@
                             false,
                             SidecarFixture.member("u1", SidecarFixture.address(upstream), "leaving"),
                             SidecarFixture.member("u2", SidecarFixture.address(other), "active"))));
-            assertTrue(up.awaitClose(), "its idle connection is closed once the change is known");
+            assertTrue(up.awaitClose(), "idle connection should close once the change has arrived");
             client.send(SidecarFixture.getRequest(SidecarFixture.requestId(2)));
             assertEquals(
                     SidecarFixture.requestId(2),
@@ -74,7 +74,7 @@
     }
 
     @Test
-    void anUpstreamThatMovesIsMetAtItsNewAddress() throws Exception {
+    void movedUpstreamIsReachedAtItsNewAddress() throws Exception {
         try (RawConnection client = startWithOne();
                 RawConnection watch = fixture.acceptWatch();
                 ServerSocket moved = fixture.listener()) {
@@ -94,7 +94,7 @@
     }
 
     @Test
-    void aWatchThatEndsIsOpenedAgainFromTheLastRevision() throws Exception {
+    void closedWatchIsReopenedFromTheLastRevision() throws Exception {
         fixture.start(
                 SidecarFixture.list(7, true, SidecarFixture.member("u1", SidecarFixture.address(upstream), "active")));
         RawConnection watch = SidecarFixture.accept(fixture.discovery);
@@ -108,7 +108,7 @@
     }
 
     @Test
-    void rubbishFromDiscoveryIsLeftAndTheWatchOpenedAgain() throws Exception {
+    void invalidListIsIgnoredAndTheWatchReopened() throws Exception {
         fixture.start(
                 SidecarFixture.list(7, true, SidecarFixture.member("u1", SidecarFixture.address(upstream), "active")));
         fixture.acceptWatch().send(SidecarFixture.chunk("{\"revision\":8,\"members\":[{\"id\":\"u1\"}]}"));
@@ -120,7 +120,7 @@
             assertEquals(
                     SidecarFixture.requestId(1),
                     SidecarFixture.accept(upstream).read().header("X-Txn"),
-                    "the list before it stands");
+                    "previous list should stay in use");
         }
     }
 }
--- a/sidecar/src/test/java/gradehub/node/WatchTest.java
+++ b/sidecar/src/test/java/gradehub/node/WatchTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Watches on the list that come in odd forms, fall silent, break or are late. */
+/** Watches whose lists are unusually formatted, or that stall, break or deliver stale data. */
 class WatchTest {
 
     private SidecarFixture fixture;
@@ -40,7 +40,7 @@
                 SidecarFixture.member("u2", SidecarFixture.address(second), "active"));
     }
 
-    private void assertGoesTo(ServerSocket upstream, int id) throws Exception {
+    private void assertServedBy(ServerSocket upstream, int id) throws Exception {
         try (RawConnection client = fixture.client()) {
             client.send(SidecarFixture.getRequest(SidecarFixture.requestId(id)));
             RawConnection up = SidecarFixture.accept(upstream);
@@ -50,11 +50,11 @@
         }
     }
 
-    private void awaitFirstIdleEnds(RawConnection up) throws Exception {
-        assertTrue(up.awaitClose(), "its idle connection is closed once the change is known");
+    private void awaitIdleClose(RawConnection up) throws Exception {
+        assertTrue(up.awaitClose(), "idle connection should close once the change has arrived");
     }
 
-    private RawConnection idleAtFirst(int id) throws Exception {
+    private RawConnection openIdleToFirst(int id) throws Exception {
         try (RawConnection client = fixture.client()) {
             client.send(SidecarFixture.getRequest(SidecarFixture.requestId(id)));
             RawConnection up = SidecarFixture.accept(first);
@@ -65,29 +65,29 @@
         }
     }
 
-    /** An object over many lines, in pieces that end anywhere. */
+    /** An object over many lines, split into chunks at arbitrary positions. */
     @ParameterizedTest
     @ValueSource(ints = {1, 7, 100_000})
-    void anIndentedListIsReadAsAnyOther(int piece) throws Exception {
+    void indentedListIsParsed(int piece) throws Exception {
         JsonNode list = Config.JSON.readTree(moved(8));
         String text = Config.JSON.writerWithDefaultPrettyPrinter().writeValueAsString(list);
         assertTrue(text.lines().count() > 10);
-        RawConnection up = idleAtFirst(1);
+        RawConnection up = openIdleToFirst(1);
         try (RawConnection watch = fixture.acceptWatch()) {
             for (int at = 0; at < text.length(); at += piece) {
                 String part = text.substring(at, Math.min(text.length(), at + piece));
                 watch.send(Integer.toHexString(part.length()) + "\r\n" + part + "\r\n");
             }
-            awaitFirstIdleEnds(up);
-            assertGoesTo(second, 2);
+            awaitIdleClose(up);
+            assertServedBy(second, 2);
         }
     }
 
-    /** The list and the end of its connection are read in one go: the list stands, and the watch is opened anew. */
+    /** The list and the close are read at once: the list must be applied and the watch reopened. */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void aListWithNoLengthIsReadUpToTheEndOfItsConnection(boolean reset) throws Throwable {
-        RawConnection up = idleAtFirst(1);
+    void listWithoutLengthIsReadUntilClose(boolean reset) throws Throwable {
+        RawConnection up = openIdleToFirst(1);
         RawConnection watch = SidecarFixture.accept(fixture.discovery);
         watch.read();
         fixture.whileEventLoopBlocked(() -> {
@@ -101,14 +101,14 @@
         assertEquals(
                 "GET /v1/endpoints?watch=1&from=8 HTTP/1.1",
                 SidecarFixture.accept(fixture.discovery).read().startLine());
-        awaitFirstIdleEnds(up);
-        assertGoesTo(second, 2);
+        awaitIdleClose(up);
+        assertServedBy(second, 2);
     }
 
-    /** It ends in the middle of an object: nothing of that is taken, and nothing is held against discovery. */
+    /** The connection closes within an object: the partial object is dropped and the watch reopened. */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void aListWithNoLengthThatIsCutShortIsAskedForAgain(boolean reset) throws Throwable {
+    void truncatedListWithoutLengthIsRequestedAgain(boolean reset) throws Throwable {
         RawConnection watch = SidecarFixture.accept(fixture.discovery);
         watch.read();
         fixture.whileEventLoopBlocked(() -> {
@@ -125,12 +125,12 @@
         fixture.assertServed(1, first);
     }
 
-    /** The empty line that comes while nothing changes shows that the rest of an object will not. */
+    /** An empty line, sent while nothing changes, shows that the rest of an object has been lost. */
     @ParameterizedTest
     @ValueSource(strings = {"{\"revision\":8,", "{\"revision\":8,\"complete\":false,\"members\":[", "]", "8", "{]"})
-    void aTornListEndsTheWatch(String torn) throws Exception {
+    void malformedListEndsTheWatch(String malformed) throws Exception {
         try (RawConnection watch = fixture.acceptWatch()) {
-            watch.send(SidecarFixture.chunk(torn)).send(SidecarFixture.chunk(""));
+            watch.send(SidecarFixture.chunk(malformed)).send(SidecarFixture.chunk(""));
             assertTrue(watch.awaitClose());
             assertEquals(
                     "GET /v1/endpoints?watch=1&from=7 HTTP/1.1",
@@ -138,10 +138,10 @@
         }
     }
 
-    /** No line at all, not even the empty one: what changes meanwhile is told by a watch opened anew. */
+    /** Without even empty lines the watch is reopened, so that changes in the meantime arrive. */
     @Test
-    void aWatchThatFallsSilentIsOpenedAnew() throws Exception {
-        RawConnection up = idleAtFirst(1);
+    void silentWatchIsReopened() throws Exception {
+        RawConnection up = openIdleToFirst(1);
         try (RawConnection silent = fixture.acceptWatch()) {
             silent.send(SidecarFixture.chunk(""));
             long silentNanos = System.nanoTime();
@@ -149,31 +149,33 @@
             assertEquals(
                     "GET /v1/endpoints?watch=1&from=7 HTTP/1.1", watch.read().startLine());
             long afterMs = (System.nanoTime() - silentNanos) / 1_000_000;
-            assertTrue(afterMs >= 2000, "an empty line comes every 2 s, it was not silent yet after " + afterMs);
-            assertTrue(afterMs < 5000, "what it misses counts as told after 6 s, it was silent for " + afterMs);
+            assertTrue(afterMs >= 2000, "empty lines come every 2 s, reopened too early, after ms: " + afterMs);
+            assertTrue(
+                    afterMs < 5000,
+                    "missed changes count as reported after 6 s, reopened too late, after ms: " + afterMs);
             watch.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + SidecarFixture.chunk(moved(9)));
-            awaitFirstIdleEnds(up);
-            assertGoesTo(second, 2);
+            awaitIdleClose(up);
+            assertServedBy(second, 2);
         }
     }
 
-    /** Discovery takes the call and then hangs, as it may just before it is well again. */
+    /** Discovery accepts the connection and then hangs, as it may shortly before it recovers. */
     @Test
-    void aCallThatIsNeverAnsweredLeavesTimeForTheNext() throws Exception {
+    void unansweredRequestIsReplacedInTime() throws Exception {
         RawConnection hung = SidecarFixture.accept(fixture.discovery);
         long hungNanos = System.nanoTime();
         hung.read();
         SidecarFixture.accept(fixture.discovery).read();
         long afterMs = (System.nanoTime() - hungNanos) / 1_000_000;
-        assertTrue(afterMs < 5000, "the list has to be in hand after 6 s, the next call came after " + afterMs);
+        assertTrue(afterMs < 5000, "the list must arrive within 6 s, next request came after ms: " + afterMs);
         assertTrue(hung.awaitClose());
     }
 
-    /** What was written to the old watch is read after the new one has been opened, and may be older. */
+    /** Data written to the old watch is read after the new one has been opened, and may be stale. */
     @Test
-    void lateLinesOfAnOldWatchUndoNothing() throws Throwable {
+    void lateDataFromReplacedWatchIsIgnored() throws Throwable {
         RawConnection old = fixture.acceptWatch();
-        RawConnection up = idleAtFirst(1);
+        RawConnection up = openIdleToFirst(1);
         fixture.whileEventLoopBlocked(() -> {
             fixture.sidecar().loop().execute(() -> fixture.sidecar().reopenWatch());
             old.send(SidecarFixture.chunk(SidecarFixture.list(
@@ -182,14 +184,14 @@
         RawConnection watch = SidecarFixture.accept(fixture.discovery);
         assertEquals("GET /v1/endpoints?watch=1&from=7 HTTP/1.1", watch.read().startLine());
         watch.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + SidecarFixture.chunk(moved(9)));
-        awaitFirstIdleEnds(up);
-        assertGoesTo(second, 2);
+        awaitIdleClose(up);
+        assertServedBy(second, 2);
         assertTrue(old.awaitClose());
     }
 
     @Test
-    void aWatchThatIsResetIsOpenedAnewWhenDiscoveryIsBack() throws Exception {
-        RawConnection up = idleAtFirst(1);
+    void resetWatchIsReopenedWhenDiscoveryRecovers() throws Exception {
+        RawConnection up = openIdleToFirst(1);
         fixture.acceptWatch().reset();
         for (int down = 0; down < 3; down++) {
             SidecarFixture.accept(fixture.discovery).reset();
@@ -200,13 +202,13 @@
         RawConnection watch = SidecarFixture.accept(fixture.discovery);
         assertEquals("GET /v1/endpoints?watch=1&from=7 HTTP/1.1", watch.read().startLine());
         watch.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + SidecarFixture.chunk(moved(9)));
-        awaitFirstIdleEnds(up);
-        assertGoesTo(second, 2);
+        awaitIdleClose(up);
+        assertServedBy(second, 2);
     }
 
-    /** What changed while discovery was down is told the moment that it is back: by then a watch has to be due. */
+    /** Changes during an outage count as reported when discovery recovers: the next watch must follow soon. */
     @Test
-    void howeverLongDiscoveryIsDownTheNextWatchIsDueWithinTheGrace() throws Exception {
+    void reconnectDelayStaysWithinDrainGracePeriod() throws Exception {
         fixture.acceptWatch().reset();
         for (int down = 0; down < 8; down++) {
             SidecarFixture.accept(fixture.discovery).reset();
@@ -214,6 +216,6 @@
         SidecarFixture.accept(fixture.discovery).read();
         long pauseMs =
                 fixture.sidecar().loop().submit(fixture.sidecar()::watchPauseMs).get();
-        assertTrue(pauseMs > 0 && pauseMs < 500, "it waits " + pauseMs + " ms");
+        assertTrue(pauseMs > 0 && pauseMs < 500, "reconnect delay is " + pauseMs + " ms");
     }
 }
