--- a/sidecar/src/main/java/gradehub/node/Discovery.java
+++ b/sidecar/src/main/java/gradehub/node/Discovery.java
@@ -35,7 +35,7 @@
  * times; in polling mode the balancer decides when to fetch. Each full list or delta is passed to the engine as soon as
  * it has been parsed.
  */
-final class Discovery implements Engine.Lists {
+final class Discovery implements Engine.ListSource {
 
     private static final System.Logger LOG = System.getLogger("gradehub");
     private static final String LIST_PATH = "/v1/endpoints";
