--- a/sidecar/src/main/java/gradehub/LoadShedder.java
+++ b/sidecar/src/main/java/gradehub/LoadShedder.java
@@ -5,7 +5,7 @@
 import java.util.TreeSet;
 
 /**
- * The queue of requests that wait while all members at their limits. Protects against overload: it serves
+ * The queue of requests that wait while all members are at their limits. Protects against overload: it serves
  * by value, then newest first, and sheds requests that can no longer be answered in time.
  */
 final class LoadShedder {
--- a/sidecar/src/main/java/gradehub/node/ClientConnection.java
+++ b/sidecar/src/main/java/gradehub/node/ClientConnection.java
@@ -264,7 +264,7 @@
     }
 
     // ---- Closing. Every graceful close starts in shutdown(), directly or after the last answer. Accepted requests are
-    // answered first, unread input is checked for, and later input is drainedBytes: closing with unread input sends a
+    // answered first, unread input is checked for, and later input is drained: closing with unread input sends a
     // reset.
 
     /** Starts or completes the close of a connection that has been idle or silent long enough; returns whether it did. */
--- a/sidecar/src/main/java/gradehub/node/Engine.java
+++ b/sidecar/src/main/java/gradehub/node/Engine.java
@@ -76,7 +76,7 @@
     /** An event for the module; {@code exchange} is null if it does not belong to a single request. */
     private record Event(Exchange exchange, DoubleConsumer notification) {}
 
-    /** A listedIds class, so that the training run can load it even if no client disconnects during the run. */
+    /** A named class, so that the training run can load it even if no client disconnects during the run. */
     private record ClientLeft(Balancer balancer, int request) implements DoubleConsumer {
         @Override
         public void accept(double nowMs) {
--- a/sidecar/src/main/java/gradehub/node/Upstreams.java
+++ b/sidecar/src/main/java/gradehub/node/Upstreams.java
@@ -212,7 +212,7 @@
     }
 
     /**
-     * Checks an attempt before a connection is channelFactory for it, and again before its first byte is written: its request
+     * Checks an attempt before a connection is opened for it, and again before its first byte is written: its request
      * still needs it, its timeout has not passed and the upstream accepts requests. Otherwise ends the attempt, and the
      * module decides what follows.
      */
