--- a/sidecar/src/test/java/gradehub/node/StalledLogIT.java
+++ b/sidecar/src/test/java/gradehub/node/StalledLogIT.java
@@ -63,15 +63,33 @@
 
     /** Creates a named pipe in place of the log file, opened for reading and writing so that no open blocks. */
     private RandomAccessFile openLogPipe() throws Exception {
-        Path log = folder.resolve("sidecar.log");
-        assertEquals(0, new ProcessBuilder("mkfifo", log.toString()).start().waitFor());
-        return new RandomAccessFile(log.toFile(), "rw");
+        assertEquals(
+                0, new ProcessBuilder("mkfifo", logPath().toString()).start().waitFor());
+        return new RandomAccessFile(logPath().toFile(), "rw");
     }
 
-    /** Reads the lines that are in the pipe, then fills the pipe completely. */
+    private Path logPath() {
+        return folder.resolve("sidecar.log");
+    }
+
+    /**
+     * Fills the pipe until a write of one byte would block. The writes themselves don't block: the sidecar may have
+     * logged more lines by then, and no reader empties the pipe.
+     */
     private void fillPipe() throws Exception {
         readLinesUntil("listening on");
-        pipe.write(new byte[PIPE_CAPACITY_BYTES]);
+        ProcessBuilder fill = new ProcessBuilder(
+                "dd",
+                "if=/dev/zero",
+                "of=" + logPath(),
+                "bs=1",
+                "count=" + (PIPE_CAPACITY_BYTES + 1),
+                "oflag=nonblock");
+        fill.environment().put("LC_ALL", "C");
+        Process process = fill.redirectErrorStream(true).start();
+        String output = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+        assertEquals(1, process.waitFor(), output);
+        assertTrue(output.contains("Resource temporarily unavailable"), output);
     }
 
     private String readLinesUntil(String text) throws Exception {
