--- a/scale/src/main/java/gradehub/scale/ExperimentOptions.java
+++ b/scale/src/main/java/gradehub/scale/ExperimentOptions.java
@@ -52,11 +52,11 @@
     }
 
     private Experiment sized(Experiment read, int size) throws BadExperimentException {
-        int least = read.fleet().layers() * read.fleet().smallestService();
+        int least = read.fleet().layers() * read.fleet().minServiceSize();
         if (size < least) {
             throw new BadExperimentException(
                     "--sizes: " + size + " upstreams are too few for the call tree, which needs " + least, null);
         }
-        return read.atSize(size);
+        return read.scaledTo(size);
     }
 }
--- a/scale/src/main/java/gradehub/scale/MemoryLimit.java
+++ b/scale/src/main/java/gradehub/scale/MemoryLimit.java
@@ -33,7 +33,7 @@
             callsPerSecond += layerCalls;
         }
         double inHand = callsPerSecond * experiment.calls().deadlineMillis() / 1000;
-        return modules * (PER_MODULE + PER_ENTRY_OF_A_LIST * experiment.fleet().largestService())
+        return modules * (PER_MODULE + PER_ENTRY_OF_A_LIST * experiment.fleet().maxServiceSize())
                 + sidecars * sidecars * Long.BYTES
                 + Math.round(inHand * PER_CALL_IN_HAND)
                 + Math.round(experiment.totalSeconds() * PER_SECOND_OF_RUN);
--- a/scale/src/main/java/gradehub/scale/experiment/Experiment.java
+++ b/scale/src/main/java/gradehub/scale/experiment/Experiment.java
@@ -34,7 +34,7 @@
     }
 
     /** The same experiment with a fleet of another size; rate and counts of machines in faults go with it. */
-    public Experiment atSize(int upstreams) {
+    public Experiment scaledTo(int upstreams) {
         double ratio = (double) upstreams / fleet.upstreams();
         CallModel scaledCalls = new CallModel(
                 calls.rootCallsPerSecond() * ratio,
@@ -51,7 +51,7 @@
                 seed,
                 warmupSeconds,
                 measuredSeconds,
-                fleet.atSize(upstreams),
+                fleet.scaledTo(upstreams),
                 network,
                 upstream,
                 scaledCalls,
@@ -66,12 +66,12 @@
 
     private static Fault atRatio(Fault fault, double ratio) {
         if (fault instanceof Fault.MachinesLost lost) {
-            return new Fault.MachinesLost(lost.atSeconds(), lost.forSeconds(), scaled(lost.count(), ratio));
+            return new Fault.MachinesLost(lost.startSeconds(), lost.durationSeconds(), scaled(lost.count(), ratio));
         }
         if (fault instanceof Fault.Restarts restarts) {
             return new Fault.Restarts(
-                    restarts.atSeconds(),
-                    restarts.forSeconds(),
+                    restarts.startSeconds(),
+                    restarts.durationSeconds(),
                     scaled(restarts.count(), ratio),
                     restarts.downSeconds());
         }
--- a/scale/src/main/java/gradehub/scale/experiment/Fault.java
+++ b/scale/src/main/java/gradehub/scale/experiment/Fault.java
@@ -4,33 +4,34 @@
 public sealed interface Fault {
 
     /** When it begins. */
-    double atSeconds();
+    double startSeconds();
 
     /** How long it lasts or, for what happens piecemeal, over how long it is spread. */
-    double forSeconds();
+    double durationSeconds();
 
     /** A part of a layer's upstreams answers errors. */
-    record UpstreamsFail(double atSeconds, double forSeconds, int layer, double part, double errorPart)
+    record UpstreamsFail(double startSeconds, double durationSeconds, int layer, double fraction, double errorFraction)
             implements Fault {}
 
     /** A part of a layer's upstreams serves slower by a factor. */
-    record UpstreamsSlow(double atSeconds, double forSeconds, int layer, double part, double factor) implements Fault {}
+    record UpstreamsSlow(double startSeconds, double durationSeconds, int layer, double fraction, double factor)
+            implements Fault {}
 
     /** Machines fall silent, and come back with a cold process. */
-    record MachinesLost(double atSeconds, double forSeconds, int count) implements Fault {}
+    record MachinesLost(double startSeconds, double durationSeconds, int count) implements Fault {}
 
     /** Planned restarts of upstreams with their sidecars, spread evenly; each is away for a while. */
-    record Restarts(double atSeconds, double forSeconds, int count, double downSeconds) implements Fault {}
+    record Restarts(double startSeconds, double durationSeconds, int count, double downSeconds) implements Fault {}
 
     /** A zone falls silent, and comes back with cold processes. */
-    record ZoneLost(double atSeconds, double forSeconds, String zone) implements Fault {}
+    record ZoneLost(double startSeconds, double durationSeconds, String zone) implements Fault {}
 
     /** A region cannot be reached from the others. */
-    record RegionParted(double atSeconds, double forSeconds, String region) implements Fault {}
+    record RegionPartitioned(double startSeconds, double durationSeconds, String region) implements Fault {}
 
     /** The list service is down. */
-    record ListServiceDown(double atSeconds, double forSeconds) implements Fault {}
+    record ListServiceDown(double startSeconds, double durationSeconds) implements Fault {}
 
     /** The list service moves to another address; sidecars are told so, spread evenly. */
-    record ConfigurationChange(double atSeconds, double forSeconds) implements Fault {}
+    record ConfigurationChange(double startSeconds, double durationSeconds) implements Fault {}
 }
--- a/scale/src/main/java/gradehub/scale/experiment/FaultReader.java
+++ b/scale/src/main/java/gradehub/scale/experiment/FaultReader.java
@@ -33,7 +33,7 @@
             case RESTARTS ->
                 new Fault.Restarts(at, lasting, machines(fields, fleet), fields.number("downSeconds", 0, mostSeconds));
             case ZONE_LOST -> new Fault.ZoneLost(at, lasting, named(fields, "zone", zoneNames(fleet)));
-            case REGION_PARTED -> new Fault.RegionParted(at, lasting, named(fields, "region", regionNames(fleet)));
+            case REGION_PARTED -> new Fault.RegionPartitioned(at, lasting, named(fields, "region", regionNames(fleet)));
             case LIST_SERVICE_DOWN -> new Fault.ListServiceDown(at, lasting);
             case CONFIGURATION_CHANGE -> new Fault.ConfigurationChange(at, lasting);
         };
--- a/scale/src/main/java/gradehub/scale/experiment/Fleet.java
+++ b/scale/src/main/java/gradehub/scale/experiment/Fleet.java
@@ -8,8 +8,8 @@
  *
  * @param upstreams machines, over all services
  * @param services services, over all layers
- * @param smallestService upstreams of the smallest service
- * @param largestService upstreams of the largest service
+ * @param minServiceSize upstreams of the smallest service
+ * @param maxServiceSize upstreams of the largest service
  * @param hops layers below layer 0, so that a call tree is this deep
  * @param calledServices services that one service calls, at most
  * @param utilisation part of an upstream's cores that is busy at the planned rate
@@ -18,8 +18,8 @@
 public record Fleet(
         int upstreams,
         int services,
-        int smallestService,
-        int largestService,
+        int minServiceSize,
+        int maxServiceSize,
         int hops,
         int calledServices,
         double utilisation,
@@ -47,15 +47,15 @@
     }
 
     /** The same fleet at another size; services go with it, as far as each layer and service size allow. */
-    public Fleet atSize(int otherUpstreams) {
+    public Fleet scaledTo(int otherUpstreams) {
         int scaled = (int) Math.round((double) services * otherUpstreams / upstreams);
-        int most = otherUpstreams / smallestService;
-        int least = Math.max(layers(), (otherUpstreams + largestService - 1) / largestService);
+        int most = otherUpstreams / minServiceSize;
+        int least = Math.max(layers(), (otherUpstreams + maxServiceSize - 1) / maxServiceSize);
         return new Fleet(
                 otherUpstreams,
                 Math.max(least, Math.min(most, scaled)),
-                smallestService,
-                largestService,
+                minServiceSize,
+                maxServiceSize,
                 hops,
                 calledServices,
                 utilisation,
--- a/scale/src/main/java/gradehub/scale/experiment/ListServiceModel.java
+++ b/scale/src/main/java/gradehub/scale/experiment/ListServiceModel.java
@@ -8,9 +8,9 @@
  * @param entryMicros time that each entry in its answer adds
  * @param timeoutMillis a call that waits longer fails
  * @param maxCallers watches open at once; more callers are turned away
- * @param noticeMillis from the loss of a machine to its entry in the list
+ * @param lossDetectionMillis from the loss of a machine to its entry in the list
  * @param pushPeriodMillis changes are gathered for this long and pushed together
- * @param changesKept revisions that a watch may be behind and still get changes alone
+ * @param retainedRevisions revisions that a watch may be behind and still get changes alone
  */
 public record ListServiceModel(
         Scope scope,
@@ -18,9 +18,9 @@
         long entryMicros,
         long timeoutMillis,
         int maxCallers,
-        long noticeMillis,
+        long lossDetectionMillis,
         long pushPeriodMillis,
-        int changesKept) {
+        int retainedRevisions) {
 
     /** Which upstreams a sidecar's list holds. */
     public enum Scope {
--- a/scale/src/main/java/gradehub/scale/model/ColdBudget.java
+++ b/scale/src/main/java/gradehub/scale/model/ColdBudget.java
@@ -25,7 +25,7 @@
         this.model = model;
         this.warmRequestsPerMicro = warmRequestsPerMicro;
         this.coldMicros = model.coldMillis() * World.MICROS_PER_MILLI;
-        this.spanMicros = model.overloadMillis() * World.MICROS_PER_MILLI;
+        this.spanMicros = model.overloadWindowMillis() * World.MICROS_PER_MILLI;
     }
 
     /** A process starts, cold. */
--- a/scale/src/main/java/gradehub/scale/model/FaultSchedule.java
+++ b/scale/src/main/java/gradehub/scale/model/FaultSchedule.java
@@ -23,19 +23,19 @@
 
     /** Schedules a fault. */
     void add(Fault fault) {
-        long from = World.micros(fault.atSeconds());
-        long until = World.micros(fault.atSeconds() + fault.forSeconds());
+        long from = World.micros(fault.startSeconds());
+        long until = World.micros(fault.startSeconds() + fault.durationSeconds());
         if (fault instanceof Fault.UpstreamsFail fail) {
-            onPart(from, until, fail.layer(), fail.part(), ModelUpstream::setErrorPart, fail.errorPart(), 0);
+            onPart(from, until, fail.layer(), fail.fraction(), ModelUpstream::setErrorPart, fail.errorFraction(), 0);
         } else if (fault instanceof Fault.UpstreamsSlow slow) {
-            onPart(from, until, slow.layer(), slow.part(), ModelUpstream::setSlowFactor, slow.factor(), 1);
+            onPart(from, until, slow.layer(), slow.fraction(), ModelUpstream::setSlowFactor, slow.factor(), 1);
         } else if (fault instanceof Fault.MachinesLost lost) {
             lose(from, until, drawn(lost.count()));
         } else if (fault instanceof Fault.Restarts restarts) {
             restart(from, until - from, restarts);
         } else if (fault instanceof Fault.ZoneLost lost) {
             lose(from, until, inZone(lost.zone()));
-        } else if (fault instanceof Fault.RegionParted parted) {
+        } else if (fault instanceof Fault.RegionPartitioned parted) {
             int region = world.topology.regions.indexOf(parted.region());
             world.queue.at(from, now -> world.network.part(region));
             world.queue.at(until, now -> world.network.join(now, region));
--- a/scale/src/main/java/gradehub/scale/model/ListService.java
+++ b/scale/src/main/java/gradehub/scale/model/ListService.java
@@ -95,7 +95,7 @@
 
     /** A machine has been lost; that shows in the list after a while, unless it has started anew by then. */
     void noticeLoss(long nowMicros, Topology.Machine machine) {
-        world.queue.at(nowMicros + model.noticeMillis() * World.MICROS_PER_MILLI, now -> {
+        world.queue.at(nowMicros + model.lossDetectionMillis() * World.MICROS_PER_MILLI, now -> {
             if (!world.upstreams.get(machine.number()).isUp()) {
                 change(now, machine, ListEntry.Phase.LEFT, entries[machine.number()].startedMicros());
             }
@@ -164,7 +164,7 @@
     }
 
     private ListUpdate answerTo(Watch watch) {
-        boolean changesAlone = watch.revision >= 0 && revision - watch.revision <= model.changesKept();
+        boolean changesAlone = watch.revision >= 0 && revision - watch.revision <= model.retainedRevisions();
         return changesAlone
                 ? new ListUpdate(revision, false, changesSince(watch))
                 : new ListUpdate(revision, true, wholeList(watch.machine));
--- a/scale/src/main/java/gradehub/scale/model/ModelSidecar.java
+++ b/scale/src/main/java/gradehub/scale/model/ModelSidecar.java
@@ -103,7 +103,7 @@
                 upstream.coldFrom(),
                 upstream.coldMillis(),
                 upstream.overloadFactor(),
-                upstream.overloadMillis(),
+                upstream.overloadWindowMillis(),
                 ASK_EVERY_MILLIS);
         Limits limits = new Limits(calls.maxAttempts(), calls.secondCopies(), true, false, 0);
         return new Settings(
--- a/scale/src/main/java/gradehub/scale/model/ModelUpstream.java
+++ b/scale/src/main/java/gradehub/scale/model/ModelUpstream.java
@@ -127,7 +127,7 @@
         } else if (running < model.cores()) {
             hold(attempt);
             run(nowMicros, attempt, work);
-        } else if (waiting.size() < model.queue()) {
+        } else if (waiting.size() < model.queueCapacity()) {
             hold(attempt);
             waiting.add(attempt);
         } else {
--- a/scale/src/main/java/gradehub/scale/model/Topology.java
+++ b/scale/src/main/java/gradehub/scale/model/Topology.java
@@ -86,13 +86,13 @@
         int[] sizes = new int[fleet.services()];
         double[] weights = new double[sizes.length];
         for (int service = 0; service < sizes.length; service++) {
-            sizes[service] = fleet.smallestService();
+            sizes[service] = fleet.minServiceSize();
             weights[service] = Math.exp(random.nextGaussian());
         }
-        int left = fleet.upstreams() - sizes.length * fleet.smallestService();
+        int left = fleet.upstreams() - sizes.length * fleet.minServiceSize();
         while (left > 0) {
             int service = draw(weights);
-            if (sizes[service] < fleet.largestService()) {
+            if (sizes[service] < fleet.maxServiceSize()) {
                 sizes[service]++;
                 left--;
             } else {
--- a/scale/src/test/java/gradehub/scale/MainTest.java
+++ b/scale/src/test/java/gradehub/scale/MainTest.java
@@ -60,7 +60,7 @@
 
     @Test
     void aBadFileIsRefusedWithItsPlaceBeforeAnythingStarts() throws IOException {
-        Path file = file(TestExperiments.smallText().replace("cores: 2", "cores: none"));
+        Path file = file(TestExperiments.smallYaml().replace("cores: 2", "cores: none"));
         Path out = folder.resolve("out");
         assertEquals(2, execute("model", file.toString(), "--out", out.toString()));
         assertTrue(errors.toString(StandardCharsets.UTF_8).contains("upstream.cores"));
@@ -70,20 +70,20 @@
 
     @Test
     void anExperimentThatNeedsTooMuchMemoryIsRefused() throws IOException {
-        Path file = file(TestExperiments.smallText());
+        Path file = file(TestExperiments.smallYaml());
         assertEquals(2, execute("check", file.toString(), "--sizes", "100000000"));
         assertTrue(errors.toString(StandardCharsets.UTF_8).contains("half of the machine's memory"));
     }
 
     @Test
     void aSizeThatIsTooSmallForTheTreeIsRefused() throws IOException {
-        assertEquals(2, execute("check", file(TestExperiments.smallText()).toString(), "--sizes", "23"));
+        assertEquals(2, execute("check", file(TestExperiments.smallYaml()).toString(), "--sizes", "23"));
         assertTrue(errors.toString(StandardCharsets.UTF_8).contains("needs 24"));
     }
 
     @Test
     void runsAtOnceGiveTheResultsOfRunsInTurn() throws IOException {
-        Path file = file(TestExperiments.smallText().replace("measuredSeconds: 5", "measuredSeconds: 1"));
+        Path file = file(TestExperiments.smallYaml().replace("measuredSeconds: 5", "measuredSeconds: 1"));
         String inTurn = folder.resolve("in-turn").toString();
         String atOnce = folder.resolve("at-once").toString();
         assertEquals(0, execute("model", file.toString(), "--seeds", "1,2,3", "--out", inTurn));
@@ -95,7 +95,7 @@
 
     @Test
     void theModelWritesItsResultsAndSlopesReadsThem() throws IOException {
-        Path file = file(TestExperiments.smallText().replace("measuredSeconds: 5", "measuredSeconds: 1"));
+        Path file = file(TestExperiments.smallYaml().replace("measuredSeconds: 5", "measuredSeconds: 1"));
         Path out = folder.resolve("out");
         String[] run = {"model", file.toString(), "--out", out.toString(), "--sizes", "30,60", "--seeds", "1,2"};
         assertEquals(0, execute(run));
--- a/scale/src/test/java/gradehub/scale/TestExperiments.java
+++ b/scale/src/test/java/gradehub/scale/TestExperiments.java
@@ -20,7 +20,7 @@
     private TestExperiments() {}
 
     /** The text of the small experiment. */
-    public static String smallText() {
+    public static String smallYaml() {
         try (InputStream file = TestExperiments.class.getResourceAsStream("/small.yaml")) {
             return new String(file.readAllBytes(), StandardCharsets.UTF_8);
         } catch (IOException e) {
@@ -31,14 +31,15 @@
     /** A small fleet without faults. */
     public static Experiment small() {
         try {
-            return ExperimentReader.parse(smallText());
+            return ExperimentReader.parse(smallYaml());
         } catch (IOException | ExperimentFileException e) {
             throw new IllegalStateException(e);
         }
     }
 
     /** The same with these faults and times. */
-    public static Experiment with(Experiment base, double warmupSeconds, double measuredSeconds, Fault... faults) {
+    public static Experiment withFaults(
+            Experiment base, double warmupSeconds, double measuredSeconds, Fault... faults) {
         return new Experiment(
                 base.name(),
                 base.seed(),
@@ -53,7 +54,7 @@
     }
 
     /** The same with another list service. */
-    public static Experiment with(Experiment base, ListServiceModel listService) {
+    public static Experiment withListService(Experiment base, ListServiceModel listService) {
         return new Experiment(
                 base.name(),
                 base.seed(),
@@ -103,7 +104,7 @@
                 new Fleet(
                         upstreams,
                         services,
-                        fleet.smallestService(),
+                        fleet.minServiceSize(),
                         largest,
                         fleet.hops(),
                         fleet.calledServices(),
@@ -127,8 +128,8 @@
                 new Fleet(
                         fleet.upstreams(),
                         fleet.services(),
-                        fleet.smallestService(),
-                        fleet.largestService(),
+                        fleet.minServiceSize(),
+                        fleet.maxServiceSize(),
                         fleet.hops(),
                         fleet.calledServices(),
                         utilisation,
--- a/scale/src/test/java/gradehub/scale/experiment/ExperimentReaderTest.java
+++ b/scale/src/test/java/gradehub/scale/experiment/ExperimentReaderTest.java
@@ -44,7 +44,7 @@
                 "faults: []                 | faults: [{kind: upstreams-fail, atSeconds: 1, forSeconds: 1, layer: 8, part: 1, errorPart: 1}] | faults[0].layer | between"
             })
     void namesLineAndFieldOfAnError(String line, String wrong, String field, String problem) {
-        List<String> lines = TestExperiments.smallText().lines().toList();
+        List<String> lines = TestExperiments.smallYaml().lines().toList();
         int place = lines.stream().map(String::strip).toList().indexOf(line.strip());
         assertTrue(place >= 0, "the small experiment has the line " + line);
         String indent = lines.get(place).replace(line.strip(), "");
@@ -65,7 +65,7 @@
 
     @Test
     void refusesAKeyThatIsNotKnownAtItsOwnPlace() {
-        String text = TestExperiments.smallText().replace("  hops: 7\n", "  hops: 7\n  depth: 7\n");
+        String text = TestExperiments.smallYaml().replace("  hops: 7\n", "  hops: 7\n  depth: 7\n");
         int line = text.substring(0, text.indexOf("depth: 7")).split("\n").length;
         ExperimentFileException error = assertThrows(ExperimentFileException.class, () -> ExperimentReader.parse(text));
         assertEquals("fleet.depth", error.field());
@@ -95,7 +95,7 @@
 
     @Test
     void aFleetAtAnotherSizeKeepsItsProportions() {
-        Experiment half = TestExperiments.small().atSize(30);
+        Experiment half = TestExperiments.small().scaledTo(30);
         assertEquals(30, half.fleet().upstreams());
         assertEquals(8, half.fleet().services());
         assertEquals(200, half.calls().rootCallsPerSecond());
--- a/scale/src/test/java/gradehub/scale/model/CallTreeTest.java
+++ b/scale/src/test/java/gradehub/scale/model/CallTreeTest.java
@@ -63,7 +63,7 @@
     @CsvSource({"1, 0.1", "4, 0.1", "4, 0.3", "4, 0.5", "7, 0.1", "7, 0.3", "7, 0.5"})
     void failuresOfALayerMultiplyAttemptsByNoMoreThanTheBudget(int layer, double part) {
         Experiment small = TestExperiments.small();
-        World world = play(TestExperiments.with(small, 2, 8, new Fault.UpstreamsFail(1, 9, layer, part, 1)));
+        World world = play(TestExperiments.withFaults(small, 2, 8, new Fault.UpstreamsFail(1, 9, layer, part, 1)));
         assertTrue(world.measurements.outcomes[Outcome.ERROR.ordinal()] > 0, "some fail");
         assertBounded(world);
     }
@@ -72,7 +72,7 @@
     @CsvSource({"4, 0.5, 10", "7, 0.3, 50", "7, 0.5, 4"})
     void slownessOfALayerMultipliesAttemptsByNoMoreThanTheBudget(int layer, double part, double factor) {
         Experiment small = TestExperiments.small();
-        World world = play(TestExperiments.with(small, 2, 8, new Fault.UpstreamsSlow(1, 9, layer, part, factor)));
+        World world = play(TestExperiments.withFaults(small, 2, 8, new Fault.UpstreamsSlow(1, 9, layer, part, factor)));
         assertBounded(world);
     }
 
@@ -80,7 +80,7 @@
     @Test
     void aTenthThatFailsCostsHardlyARootCall() {
         Experiment small = TestExperiments.small();
-        RunResult result = result(TestExperiments.with(small, 3, 10, new Fault.UpstreamsFail(1, 12, 4, 0.1, 1)));
+        RunResult result = result(TestExperiments.withFaults(small, 3, 10, new Fault.UpstreamsFail(1, 12, 4, 0.1, 1)));
         assertTrue(result.figure("root-served-part") > 0.99, "served " + result.figure("root-served-part"));
     }
 
--- a/scale/src/test/java/gradehub/scale/model/ColdReturnTest.java
+++ b/scale/src/test/java/gradehub/scale/model/ColdReturnTest.java
@@ -22,10 +22,11 @@
     @ParameterizedTest
     @CsvSource({"1, 4, 0.5", "1, 2.5, 0.7", "1, 1.5, 0.7", "2, 1.5, 0.7", "3, 1.5, 0.7"})
     void aZoneThatReturnsToAFleetOf120IsNotPushedOver(long seed, double overloadFactor, double utilisation) {
-        Experiment small = TestExperiments.small().atSize(120).withSeed(seed);
+        Experiment small = TestExperiments.small().scaledTo(120).withSeed(seed);
         UpstreamModel upstream = new UpstreamModel(2, 64, 1, 0.12, 24_000, overloadFactor, 2000);
         Experiment fleet = TestExperiments.withUpstreams(small, upstream, utilisation);
-        RunResult result = new Simulation(TestExperiments.with(fleet, 3, 40, new Fault.ZoneLost(3, 10, "north-2")))
+        RunResult result = new Simulation(
+                        TestExperiments.withFaults(fleet, 3, 40, new Fault.ZoneLost(3, 10, "north-2")))
                 .run((seconds, calls) -> true);
         assertEquals(0, result.figure("cold-falls"));
         assertTrue(result.figure("cold-attempts") > 1000, "cold upstreams are sent something");
@@ -56,8 +57,8 @@
     @Test
     void upstreamsThatCanTakeAlmostNothingFallAndStayDown() {
         UpstreamModel frail = new UpstreamModel(2, 64, 1, 0.01, 20_000, 0.1, 2000);
-        Experiment small = TestExperiments.withUpstreams(TestExperiments.small().atSize(120), frail, 0.5);
-        Experiment experiment = TestExperiments.with(small, 3, 30, new Fault.ZoneLost(3, 5, "north-2"));
+        Experiment small = TestExperiments.withUpstreams(TestExperiments.small().scaledTo(120), frail, 0.5);
+        Experiment experiment = TestExperiments.withFaults(small, 3, 30, new Fault.ZoneLost(3, 5, "north-2"));
         World world = new World(experiment);
         RunResult result = new Simulation(world).run((seconds, calls) -> true);
         assertTrue(result.figure("cold-falls") > 0);
--- a/scale/src/test/java/gradehub/scale/model/ListServiceTest.java
+++ b/scale/src/test/java/gradehub/scale/model/ListServiceTest.java
@@ -25,8 +25,8 @@
     /** A fleet whose sidecars make no calls, so that only the lists go about. */
     private static Experiment quiet(int upstreams, ListServiceModel model, double seconds, Fault... faults) {
         Experiment small = TestExperiments.withFleet(TestExperiments.small(), upstreams, upstreams / 5, 8);
-        return TestExperiments.with(
-                TestExperiments.withRate(TestExperiments.with(small, model), 0), 1, seconds, faults);
+        return TestExperiments.withFaults(
+                TestExperiments.withRate(TestExperiments.withListService(small, model), 0), 1, seconds, faults);
     }
 
     private static ListServiceModel scope(Scope scope) {
@@ -134,7 +134,7 @@
     /** The path is cut in silence: what is told meanwhile comes once the regions are joined. */
     @Test
     void aPartedRegionIsToldOnceItIsJoined() {
-        Fault parted = new Fault.RegionParted(2, 12, "south");
+        Fault parted = new Fault.RegionPartitioned(2, 12, "south");
         World world = new World(quiet(120, SMALL_SERVICE, 30, parted, new Fault.MachinesLost(6, 100, 4)));
         RunResult result = new Simulation(world).run((seconds, calls) -> true);
         long south = world.sidecars.stream()
--- a/scale/src/test/java/gradehub/scale/model/SimulationTest.java
+++ b/scale/src/test/java/gradehub/scale/model/SimulationTest.java
@@ -29,13 +29,13 @@
         new Fault.MachinesLost(3.2, 2, 3),
         new Fault.Restarts(3, 3, 5, 0.5),
         new Fault.ZoneLost(4, 2, "south-2"),
-        new Fault.RegionParted(5, 1, "south"),
+        new Fault.RegionPartitioned(5, 1, "south"),
         new Fault.ListServiceDown(3.1, 1.5),
         new Fault.ConfigurationChange(5.5, 1)
     };
 
     private static Experiment withAllFaults() {
-        return TestExperiments.with(TestExperiments.small(), 3, 5, ALL_FAULTS);
+        return TestExperiments.withFaults(TestExperiments.small(), 3, 5, ALL_FAULTS);
     }
 
     private static RunResult run(Experiment experiment) {
@@ -66,7 +66,7 @@
 
     @Test
     void theFleetHasItsSizesAndEachServiceHasACaller() {
-        Experiment experiment = TestExperiments.small().atSize(750);
+        Experiment experiment = TestExperiments.small().scaledTo(750);
         Topology topology = new World(experiment).topology;
         assertEquals(750, topology.machines.size());
         for (Topology.Service service : topology.services) {
@@ -99,7 +99,7 @@
             case 2 -> new Fault.MachinesLost(at, lasting, 10);
             case 3 -> new Fault.Restarts(at, lasting, 12, lasting / 4);
             case 4 -> new Fault.ZoneLost(at, lasting, "north-1");
-            case 5 -> new Fault.RegionParted(at, lasting, "north");
+            case 5 -> new Fault.RegionPartitioned(at, lasting, "north");
             case 6 -> new Fault.ListServiceDown(at, lasting);
             default -> new Fault.ConfigurationChange(at, lasting);
         };
@@ -109,8 +109,8 @@
     @Property(tries = 25, seed = "20", shrinking = ShrinkingMode.OFF)
     void whateverHappensEachCallIsAnsweredInTime(@ForAll("faults") List<Fault> faults, @ForAll long seed) {
         Experiment small = TestExperiments.withRate(TestExperiments.small(), 150);
-        Experiment experiment =
-                TestExperiments.with(small, 0, 8, faults.toArray(new Fault[0])).withSeed(seed);
+        Experiment experiment = TestExperiments.withFaults(small, 0, 8, faults.toArray(new Fault[0]))
+                .withSeed(seed);
         World world = new World(experiment);
         new Simulation(world).run((seconds, calls) -> true);
         Measurements counted = world.measurements;
