--- a/scale/src/main/java/gradehub/scale/model/ApplicationCall.java
+++ b/scale/src/main/java/gradehub/scale/model/ApplicationCall.java
@@ -45,7 +45,7 @@
             operation.callEnded(nowMicros, answer == Answer.SERVED);
         } else if (operation.isLive()) {
             triesLeft--;
-            world.queue.at(nowMicros + pauseMicros, this::repeat);
+            world.queue.scheduleAt(nowMicros + pauseMicros, this::repeat);
         }
     }
 
--- a/scale/src/main/java/gradehub/scale/model/Attempt.java
+++ b/scale/src/main/java/gradehub/scale/model/Attempt.java
@@ -38,7 +38,7 @@
     }
 
     @Override
-    public boolean isVoid() {
+    public boolean isObsolete() {
         return ended;
     }
 }
--- a/scale/src/main/java/gradehub/scale/model/Event.java
+++ b/scale/src/main/java/gradehub/scale/model/Event.java
@@ -7,7 +7,7 @@
     void fire(long nowMicros);
 
     /** Whether it would change nothing any more, so that it may be dropped. Once true it stays so. */
-    default boolean isVoid() {
+    default boolean isObsolete() {
         return false;
     }
 }
--- a/scale/src/main/java/gradehub/scale/model/EventQueue.java
+++ b/scale/src/main/java/gradehub/scale/model/EventQueue.java
@@ -50,18 +50,18 @@
     }
 
     /** How many events have happened. */
-    long fired() {
+    long firedCount() {
         return fired;
     }
 
     /** Schedules an event; one in the past happens at the present time. */
-    void at(long timeMicros, Event event) {
+    void scheduleAt(long timeMicros, Event event) {
         place(Math.max(nowMicros, timeMicros), nextSequence++, event);
     }
 
     /** Schedules an event after a delay. */
-    void after(long delayMicros, Event event) {
-        at(nowMicros + delayMicros, event);
+    void scheduleAfter(long delayMicros, Event event) {
+        scheduleAt(nowMicros + delayMicros, event);
     }
 
     /** Lets all events happen up to this time, that time included, and moves the clock there. */
@@ -99,7 +99,7 @@
         for (int i = 0; i < size; i++) {
             Event event = slot.events[i];
             slot.events[i] = null;
-            if (!event.isVoid()) {
+            if (!event.isObsolete()) {
                 place(slot.times[i], slot.sequences[i], event);
             }
         }
--- a/scale/src/main/java/gradehub/scale/model/FaultSchedule.java
+++ b/scale/src/main/java/gradehub/scale/model/FaultSchedule.java
@@ -37,11 +37,11 @@
             lose(from, until, inZone(lost.zone()));
         } else if (fault instanceof Fault.RegionParted parted) {
             int region = world.topology.regions.indexOf(parted.region());
-            world.queue.at(from, now -> world.network.part(region));
-            world.queue.at(until, now -> world.network.join(now, region));
+            world.queue.scheduleAt(from, now -> world.network.part(region));
+            world.queue.scheduleAt(until, now -> world.network.join(now, region));
         } else if (fault instanceof Fault.ListServiceDown) {
-            world.queue.at(from, world.listService::goDown);
-            world.queue.at(until, world.listService::comeBack);
+            world.queue.scheduleAt(from, world.listService::startOutage);
+            world.queue.scheduleAt(until, world.listService::endOutage);
         } else if (fault instanceof Fault.ConfigurationChange) {
             configure(from, until - from);
         }
@@ -62,8 +62,8 @@
             int count = (int) Math.floor(part * machines.size() + random.nextDouble());
             for (Topology.Machine machine : machines.subList(0, Math.min(count, machines.size()))) {
                 ModelUpstream upstream = world.upstreams.get(machine.number());
-                world.queue.at(from, now -> setting.accept(upstream, faulty));
-                world.queue.at(until, now -> setting.accept(upstream, sound));
+                world.queue.scheduleAt(from, now -> setting.accept(upstream, faulty));
+                world.queue.scheduleAt(until, now -> setting.accept(upstream, sound));
             }
         }
     }
@@ -83,12 +83,12 @@
 
     private void lose(long from, long until, List<Topology.Machine> machines) {
         for (Topology.Machine machine : machines) {
-            world.queue.at(from, now -> {
+            world.queue.scheduleAt(from, now -> {
                 world.upstreams.get(machine.number()).lose();
                 world.sidecars.get(machine.number()).stop(now);
-                world.listService.noticeLoss(now, machine);
+                world.listService.scheduleLossDetection(now, machine);
             });
-            world.queue.at(until, now -> startAgain(now, machine));
+            world.queue.scheduleAt(until, now -> startAgain(now, machine));
         }
     }
 
@@ -99,29 +99,30 @@
             ModelUpstream upstream = world.upstreams.get(machine.number());
             long leaves = from + spreadMicros * i / machines.size();
             long ends = leaves + DRAIN_MICROS;
-            world.queue.at(
+            world.queue.scheduleAt(
                     leaves,
-                    now -> world.listService.change(now, machine, ListEntry.Phase.LEAVING, upstream.startedMicros()));
-            world.queue.at(ends, now -> {
+                    now -> world.listService.updateEntry(
+                            now, machine, ListEntry.Phase.LEAVING, upstream.startedMicros()));
+            world.queue.scheduleAt(ends, now -> {
                 upstream.kill(now);
                 world.sidecars.get(machine.number()).stop(now);
             });
-            world.queue.at(ends + World.micros(restarts.downSeconds()), now -> startAgain(now, machine));
+            world.queue.scheduleAt(ends + World.micros(restarts.downSeconds()), now -> startAgain(now, machine));
         }
     }
 
     private void startAgain(long nowMicros, Topology.Machine machine) {
         world.upstreams.get(machine.number()).start(nowMicros);
-        world.listService.change(nowMicros, machine, ListEntry.Phase.ACTIVE, nowMicros);
+        world.listService.updateEntry(nowMicros, machine, ListEntry.Phase.ACTIVE, nowMicros);
         ModelSidecar sidecar = world.sidecars.get(machine.number());
-        sidecar.start(nowMicros, world.listService.wholeList(machine));
+        sidecar.start(nowMicros, world.listService.fullList(machine));
     }
 
     private void configure(long from, long spreadMicros) {
         List<ModelSidecar> sidecars = world.sidecars;
         for (int i = 0; i < sidecars.size(); i++) {
             ModelSidecar sidecar = sidecars.get(i);
-            world.queue.at(
+            world.queue.scheduleAt(
                     from + spreadMicros * i / sidecars.size(),
                     now -> sidecar.listClient().moveTo(now));
         }
--- a/scale/src/main/java/gradehub/scale/model/Figures.java
+++ b/scale/src/main/java/gradehub/scale/model/Figures.java
@@ -148,7 +148,7 @@
         delays("restored", counted.restored);
         delays("configured", counted.configured);
         long current = world.sidecars.stream()
-                .filter(sidecar -> sidecar.isRunning() && sidecar.listClient().isCurrent())
+                .filter(sidecar -> sidecar.isRunning() && sidecar.listClient().hasActiveWatch())
                 .count();
         add("sidecars-with-watch-at-end", current, "1");
     }
--- a/scale/src/main/java/gradehub/scale/model/ListClient.java
+++ b/scale/src/main/java/gradehub/scale/model/ListClient.java
@@ -31,7 +31,7 @@
     }
 
     /** Whether a list has come from the present list service and the watch stands. */
-    boolean isCurrent() {
+    boolean hasActiveWatch() {
         return watch != null && watch.answered && !lost && movedMicros < 0;
     }
 
@@ -55,11 +55,11 @@
         heardMicros = nowMicros;
         if (world.listService.reaches(sidecar.machine())) {
             long roundTripAndCall = 3 * world.network.listServiceDelayMicros(sidecar.machine());
-            world.queue.at(nowMicros + roundTripAndCall, now -> world.listService.call(now, opened));
-            world.queue.at(nowMicros + SILENCE_MICROS, now -> checkSilence(now, opened));
+            world.queue.scheduleAt(nowMicros + roundTripAndCall, now -> world.listService.call(now, opened));
+            world.queue.scheduleAt(nowMicros + SILENCE_MICROS, now -> checkSilence(now, opened));
         } else {
             double millis = Math.min(CONNECT_MILLIS, world.network.model().connectTimeoutMillis());
-            world.queue.at(nowMicros + Math.round(millis * World.MICROS_PER_MILLI), now -> ended(now, opened));
+            world.queue.scheduleAt(nowMicros + Math.round(millis * World.MICROS_PER_MILLI), now -> ended(now, opened));
         }
     }
 
@@ -123,7 +123,7 @@
         if (nowMicros - heardMicros >= SILENCE_MICROS) {
             ended(nowMicros, which);
         } else {
-            world.queue.at(heardMicros + SILENCE_MICROS, now -> checkSilence(now, which));
+            world.queue.scheduleAt(heardMicros + SILENCE_MICROS, now -> checkSilence(now, which));
         }
     }
 
--- a/scale/src/main/java/gradehub/scale/model/ListService.java
+++ b/scale/src/main/java/gradehub/scale/model/ListService.java
@@ -65,7 +65,7 @@
     }
 
     /** The list of this machine's sidecar as it stands now, without those that have left. */
-    List<ListEntry> wholeList(Topology.Machine machine) {
+    List<ListEntry> fullList(Topology.Machine machine) {
         List<ListEntry> list = new ArrayList<>();
         for (Topology.Machine other : scopes.get(machine.service())) {
             ListEntry entry = entries[other.number()];
@@ -79,7 +79,7 @@
     // ---- Changes of the list.
 
     /** A machine's entry changes now. */
-    void change(long nowMicros, Topology.Machine machine, ListEntry.Phase phase, long startedMicros) {
+    void updateEntry(long nowMicros, Topology.Machine machine, ListEntry.Phase phase, long startedMicros) {
         ListEntry old = entries[machine.number()];
         if (old.phase() == phase && old.startedMicros() == startedMicros) {
             return;
@@ -89,15 +89,15 @@
         world.measurements.changed(nowMicros);
         if (!pushDue) {
             pushDue = true;
-            world.queue.at(nowMicros + model.pushPeriodMillis() * World.MICROS_PER_MILLI, this::push);
+            world.queue.scheduleAt(nowMicros + model.pushPeriodMillis() * World.MICROS_PER_MILLI, this::push);
         }
     }
 
     /** A machine has been lost; that shows in the list after a while, unless it has started anew by then. */
-    void noticeLoss(long nowMicros, Topology.Machine machine) {
-        world.queue.at(nowMicros + model.noticeMillis() * World.MICROS_PER_MILLI, now -> {
+    void scheduleLossDetection(long nowMicros, Topology.Machine machine) {
+        world.queue.scheduleAt(nowMicros + model.noticeMillis() * World.MICROS_PER_MILLI, now -> {
             if (!world.upstreams.get(machine.number()).isUp()) {
-                change(now, machine, ListEntry.Phase.LEFT, entries[machine.number()].startedMicros());
+                updateEntry(now, machine, ListEntry.Phase.LEFT, entries[machine.number()].startedMicros());
             }
         });
     }
@@ -167,7 +167,7 @@
         boolean changesAlone = watch.revision >= 0 && revision - watch.revision <= model.changesKept();
         return changesAlone
                 ? new ListUpdate(revision, false, changesSince(watch))
-                : new ListUpdate(revision, true, wholeList(watch.machine));
+                : new ListUpdate(revision, true, fullList(watch.machine));
     }
 
     private void answer(long nowMicros, Watch watch) {
@@ -203,27 +203,27 @@
     private void deliver(long nowMicros, Watch watch, ListUpdate update) {
         if (reaches(watch.machine)) {
             long delay = world.network.listServiceDelayMicros(watch.machine);
-            world.queue.at(nowMicros + delay, now -> watch.client.heard(now, watch, update));
+            world.queue.scheduleAt(nowMicros + delay, now -> watch.client.heard(now, watch, update));
         }
     }
 
     private void tellEnded(long nowMicros, Watch watch) {
         if (reaches(watch.machine)) {
             long delay = world.network.listServiceDelayMicros(watch.machine);
-            world.queue.at(nowMicros + delay, now -> watch.client.ended(now, watch));
+            world.queue.scheduleAt(nowMicros + delay, now -> watch.client.ended(now, watch));
         }
     }
 
     /** A sidecar has closed a watch; over a cut path that shows much later. */
     void closedBySidecar(long nowMicros, Watch watch) {
         long delay = reaches(watch.machine) ? world.network.listServiceDelayMicros(watch.machine) : HALF_OPEN_MICROS;
-        world.queue.at(nowMicros + delay, now -> callers.remove(watch));
+        world.queue.scheduleAt(nowMicros + delay, now -> callers.remove(watch));
     }
 
     // ---- Outages.
 
     /** It goes down: its connections are reset, and new ones refused. */
-    void goDown(long nowMicros) {
+    void startOutage(long nowMicros) {
         up = false;
         life++;
         callers.forEach(watch -> tellEnded(nowMicros, watch));
@@ -231,7 +231,7 @@
     }
 
     /** It is back, with the list as it is by now. */
-    void comeBack(long nowMicros) {
+    void endOutage(long nowMicros) {
         up = true;
         upSinceMicros = nowMicros;
         busyUntilMicros = nowMicros;
@@ -239,7 +239,7 @@
 
     private void atThisLife(long timeMicros, Event event) {
         int ofLife = life;
-        world.queue.at(timeMicros, now -> {
+        world.queue.scheduleAt(timeMicros, now -> {
             if (life == ofLife) {
                 event.fire(now);
             }
--- a/scale/src/main/java/gradehub/scale/model/ModelUpstream.java
+++ b/scale/src/main/java/gradehub/scale/model/ModelUpstream.java
@@ -146,7 +146,7 @@
             fallen = true;
             world.measurements.coldFall();
             kill(nowMicros);
-            world.listService.noticeLoss(nowMicros, machine);
+            world.listService.scheduleLossDetection(nowMicros, machine);
         }
         return fallen;
     }
@@ -155,7 +155,7 @@
         running++;
         int ofLife = life;
         long duration = Math.max(1, Math.round(workMicros * slowFactor / coldBudget.capacity(nowMicros)));
-        world.queue.at(nowMicros + duration, now -> {
+        world.queue.scheduleAt(nowMicros + duration, now -> {
             if (life == ofLife) {
                 worked(now, attempt);
             }
--- a/scale/src/main/java/gradehub/scale/model/Operation.java
+++ b/scale/src/main/java/gradehub/scale/model/Operation.java
@@ -38,7 +38,7 @@
             ServiceClient client = sidecar.drawClient();
             ApplicationCall call = new ApplicationCall(world, operation, client, deadlineMicros, tries);
             world.measurements.called(nowMicros, sidecar.machine());
-            world.queue.at(nowMicros + delayMicros, call::start);
+            world.queue.scheduleAt(nowMicros + delayMicros, call::start);
         }
     }
 
--- a/scale/src/main/java/gradehub/scale/model/RootClients.java
+++ b/scale/src/main/java/gradehub/scale/model/RootClients.java
@@ -33,7 +33,7 @@
 
     private void scheduleNext(long intendedMicros) {
         double gap = -Math.log(1 - random.nextDouble()) * meanGapMicros;
-        world.queue.at(intendedMicros + Math.max(1, Math.round(gap)), this::arrive);
+        world.queue.scheduleAt(intendedMicros + Math.max(1, Math.round(gap)), this::arrive);
     }
 
     /** Clients of a machine that is down go elsewhere, outside of the fleet. */
--- a/scale/src/main/java/gradehub/scale/model/ServiceClient.java
+++ b/scale/src/main/java/gradehub/scale/model/ServiceClient.java
@@ -113,7 +113,7 @@
         long nowMicros = world.queue.nowMicros();
         boolean sent = !exchange.attempts.isEmpty();
         world.measurements.answered(nowMicros, nowMicros - exchange.deadlineMicros, answer, sent);
-        world.queue.after(world.network.model().localMicros(), now -> exchange.call.answered(now, answer));
+        world.queue.scheduleAfter(world.network.model().localMicros(), now -> exchange.call.answered(now, answer));
     }
 
     private void finish(int request, ApplicationCall.Answer answer) {
@@ -137,10 +137,10 @@
         exchange.attempts.add(attempt);
         exchange.out++;
         if (exchange.over || attempt.number >= maxAttempts || exchange.deadlineMicros <= now) {
-            world.queue.at(now, later -> attemptEnded(later, attempt, Outcome.NOT_SENT));
+            world.queue.scheduleAt(now, later -> attemptEnded(later, attempt, Outcome.NOT_SENT));
             return;
         }
-        world.queue.at(deadline, attempt);
+        world.queue.scheduleAt(deadline, attempt);
         transmit(now, attempt);
     }
 
@@ -149,10 +149,10 @@
         world.measurements.sent(now, target, Network.distance(sidecar.machine(), target));
         if (world.reaches(sidecar.machine(), target)) {
             long delay = world.delayMicros(sidecar.machine(), target);
-            world.queue.at(now + delay, later -> attempt.upstream.arrive(later, attempt));
+            world.queue.scheduleAt(now + delay, later -> attempt.upstream.arrive(later, attempt));
         } else {
             long timeout = world.network.model().connectTimeoutMillis() * World.MICROS_PER_MILLI;
-            world.queue.at(now + timeout, later -> attemptEnded(later, attempt, Outcome.CONNECT_FAILED));
+            world.queue.scheduleAt(now + timeout, later -> attemptEnded(later, attempt, Outcome.CONNECT_FAILED));
         }
     }
 
@@ -161,7 +161,7 @@
         Topology.Machine from = attempt.upstream.machine();
         if (live && !attempt.ended && world.reaches(sidecar.machine(), from)) {
             long delay = world.delayMicros(sidecar.machine(), from);
-            world.queue.at(nowMicros + delay, now -> attemptEnded(now, attempt, outcome));
+            world.queue.scheduleAt(nowMicros + delay, now -> attemptEnded(now, attempt, outcome));
         }
     }
 
@@ -180,7 +180,7 @@
         Exchange exchange = exchanges.get(request);
         if (exchange != null && attempt >= 0 && attempt < exchange.attempts.size()) {
             Attempt cancelled = exchange.attempts.get(attempt);
-            world.queue.after(0, now -> attemptEnded(now, cancelled, Outcome.CANCELLED));
+            world.queue.scheduleAfter(0, now -> attemptEnded(now, cancelled, Outcome.CANCELLED));
         }
     }
 
@@ -191,7 +191,7 @@
 
     @Override
     public void timer(double delayMs, int token) {
-        world.queue.after((long) Math.ceil(delayMs * World.MICROS_PER_MILLI), now -> {
+        world.queue.scheduleAfter((long) Math.ceil(delayMs * World.MICROS_PER_MILLI), now -> {
             if (live) {
                 balancer.timer(World.millis(now), token);
             }
--- a/scale/src/main/java/gradehub/scale/model/Simulation.java
+++ b/scale/src/main/java/gradehub/scale/model/Simulation.java
@@ -40,7 +40,7 @@
 
     private void start() {
         for (ModelSidecar sidecar : world.sidecars) {
-            sidecar.start(0, world.listService.wholeList(sidecar.machine()));
+            sidecar.start(0, world.listService.fullList(sidecar.machine()));
         }
         RootClients.start(world);
         FaultSchedule faults = new FaultSchedule(world);
--- a/scale/src/test/java/gradehub/scale/model/EventQueueTest.java
+++ b/scale/src/test/java/gradehub/scale/model/EventQueueTest.java
@@ -27,10 +27,10 @@
             int number = i;
             long time = i % 2 == 0 ? times.get(i) : times.get(i) / 1024 * 1024;
             expected.add(new Fired(time, number));
-            queue.at(time, now -> {
+            queue.scheduleAt(time, now -> {
                 fired.add(new Fired(now, number));
                 if (number % 3 == 0) {
-                    queue.after(time % 7000, later -> fired.add(new Fired(later, times.size() + number)));
+                    queue.scheduleAfter(time % 7000, later -> fired.add(new Fired(later, times.size() + number)));
                 }
             });
             if (number % 3 == 0) {
@@ -57,28 +57,28 @@
     void whatIsVoidIsDroppedAndCountsForNothing() {
         EventQueue queue = new EventQueue();
         List<Long> fired = new ArrayList<>();
-        queue.at(5_000_000, new Event() {
+        queue.scheduleAt(5_000_000, new Event() {
             @Override
             public void fire(long nowMicros) {
                 fired.add(nowMicros);
             }
 
             @Override
-            public boolean isVoid() {
+            public boolean isObsolete() {
                 return true;
             }
         });
-        queue.at(6_000_000, fired::add);
+        queue.scheduleAt(6_000_000, fired::add);
         queue.runUntil(7_000_000);
         assertEquals(List.of(6_000_000L), fired);
-        assertEquals(1, queue.fired());
+        assertEquals(1, queue.firedCount());
     }
 
     @Test
     void anEventInThePastHappensNow() {
         EventQueue queue = new EventQueue();
         List<Long> fired = new ArrayList<>();
-        queue.at(100, now -> queue.at(50, fired::add));
+        queue.scheduleAt(100, now -> queue.scheduleAt(50, fired::add));
         queue.runUntil(200);
         assertEquals(List.of(100L), fired);
     }
