--- a/scale/src/main/java/gradehub/scale/experiment/ExperimentFileException.java
+++ b/scale/src/main/java/gradehub/scale/experiment/ExperimentFileException.java
@@ -1,6 +1,6 @@
 package gradehub.scale.experiment;
 
-/** An experiment file that cannot be run; the message names line, column and field. */
+/** Thrown for an invalid experiment file; the message gives the line, the column and the field. */
 public final class ExperimentFileException extends Exception {
 
     private static final long serialVersionUID = 1L;
@@ -9,7 +9,11 @@
     private final int column;
     private final String field;
 
-    /** An error at a place of the file; {@code field} is the dotted path of the field, empty for the whole file. */
+    /**
+     * Creates an exception for an error at a position in the file.
+     *
+     * @param field dotted path of the field; empty if the error concerns the whole file
+     */
     public ExperimentFileException(int line, int column, String field, String problem) {
         super("line " + line + ", column " + column + ": " + (field.isEmpty() ? "" : field + ": ") + problem);
         this.line = line;
@@ -17,17 +21,17 @@
         this.field = field;
     }
 
-    /** The line of the error, from 1. */
+    /** Line of the error; the first is 1. */
     public int line() {
         return line;
     }
 
-    /** The column of the error, from 1. */
+    /** Column of the error; the first is 1. */
     public int column() {
         return column;
     }
 
-    /** The dotted path of the field, such as {@code fleet.regions[0].name}. */
+    /** Dotted path of the field, such as {@code fleet.regions[0].name}; empty if the error concerns the whole file. */
     public String field() {
         return field;
     }
--- a/scale/src/main/java/gradehub/scale/experiment/FaultReader.java
+++ b/scale/src/main/java/gradehub/scale/experiment/FaultReader.java
@@ -2,9 +2,10 @@
 
 import java.util.List;
 
-/** Reads one fault of an experiment file. */
+/** Reads and validates one fault of an experiment file. */
 final class FaultReader {
 
+    /** The values of {@code kind}, which files write in lower case with hyphens. */
     private enum Kind {
         UPSTREAMS_FAIL,
         UPSTREAMS_SLOW,
@@ -18,24 +19,39 @@
 
     private FaultReader() {}
 
-    static Fault read(FieldReader fields, Fleet fleet, double mostSeconds) throws ExperimentFileException {
+    static Fault read(FieldReader fields, Fleet fleet, double runSeconds) throws ExperimentFileException {
         Kind kind = fields.choice("kind", Kind.class);
-        double at = fields.number("atSeconds", 0, mostSeconds);
-        double lasting = fields.number("forSeconds", 0, mostSeconds);
+        double startSeconds = fields.number("atSeconds", 0, runSeconds);
+        double durationSeconds = fields.number("forSeconds", 0, runSeconds);
         return switch (kind) {
             case UPSTREAMS_FAIL ->
                 new Fault.UpstreamsFail(
-                        at, lasting, layer(fields, fleet), part(fields), fields.number("errorPart", 0, 1));
+                        startSeconds,
+                        durationSeconds,
+                        layer(fields, fleet),
+                        fraction(fields),
+                        fields.number("errorPart", 0, 1));
             case UPSTREAMS_SLOW ->
                 new Fault.UpstreamsSlow(
-                        at, lasting, layer(fields, fleet), part(fields), fields.number("factor", 1, 10_000));
-            case MACHINES_LOST -> new Fault.MachinesLost(at, lasting, machines(fields, fleet));
+                        startSeconds,
+                        durationSeconds,
+                        layer(fields, fleet),
+                        fraction(fields),
+                        fields.number("factor", 1, 10_000));
+            case MACHINES_LOST -> new Fault.MachinesLost(startSeconds, durationSeconds, machineCount(fields, fleet));
             case RESTARTS ->
-                new Fault.Restarts(at, lasting, machines(fields, fleet), fields.number("downSeconds", 0, mostSeconds));
-            case ZONE_LOST -> new Fault.ZoneLost(at, lasting, named(fields, "zone", zoneNames(fleet)));
-            case REGION_PARTED -> new Fault.RegionPartitioned(at, lasting, named(fields, "region", regionNames(fleet)));
-            case LIST_SERVICE_DOWN -> new Fault.ListServiceDown(at, lasting);
-            case CONFIGURATION_CHANGE -> new Fault.ConfigurationChange(at, lasting);
+                new Fault.Restarts(
+                        startSeconds,
+                        durationSeconds,
+                        machineCount(fields, fleet),
+                        fields.number("downSeconds", 0, runSeconds));
+            case ZONE_LOST ->
+                new Fault.ZoneLost(startSeconds, durationSeconds, knownName(fields, "zone", zoneNames(fleet)));
+            case REGION_PARTED ->
+                new Fault.RegionPartitioned(
+                        startSeconds, durationSeconds, knownName(fields, "region", regionNames(fleet)));
+            case LIST_SERVICE_DOWN -> new Fault.ListServiceDown(startSeconds, durationSeconds);
+            case CONFIGURATION_CHANGE -> new Fault.ConfigurationChange(startSeconds, durationSeconds);
         };
     }
 
@@ -43,18 +59,19 @@
         return fields.count("layer", 1, fleet.hops());
     }
 
-    private static double part(FieldReader fields) throws ExperimentFileException {
+    private static double fraction(FieldReader fields) throws ExperimentFileException {
         return fields.number("part", 0, 1);
     }
 
-    private static int machines(FieldReader fields, Fleet fleet) throws ExperimentFileException {
+    private static int machineCount(FieldReader fields, Fleet fleet) throws ExperimentFileException {
         return fields.count("count", 1, fleet.upstreams());
     }
 
-    private static String named(FieldReader fields, String key, List<String> names) throws ExperimentFileException {
-        String name = fields.text(key);
-        if (!names.contains(name)) {
-            throw fields.error(key, "must be one of " + names);
+    private static String knownName(FieldReader fields, String key, List<String> knownNames)
+            throws ExperimentFileException {
+        String name = fields.string(key);
+        if (!knownNames.contains(name)) {
+            throw fields.error(key, "must be one of " + knownNames);
         }
         return name;
     }
--- a/scale/src/main/java/gradehub/scale/experiment/FieldReader.java
+++ b/scale/src/main/java/gradehub/scale/experiment/FieldReader.java
@@ -2,7 +2,7 @@
 
 import gradehub.scale.experiment.LocatedNode.ArrayNode;
 import gradehub.scale.experiment.LocatedNode.ObjectNode;
-import gradehub.scale.experiment.LocatedNode.Place;
+import gradehub.scale.experiment.LocatedNode.Position;
 import gradehub.scale.experiment.LocatedNode.ScalarNode;
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -11,17 +11,20 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Reads the fields of one object with their types and ranges; {@link #end} refuses the keys that nobody asked for. */
+/**
+ * Reads the fields of one object and checks their types and ranges. {@link #rejectUnknownFields} rejects the fields that
+ * no method has read.
+ */
 final class FieldReader {
 
-    /** Makes a value from the object that a field holds. */
-    interface ObjectFunction<T> {
-        T read(FieldReader fields) throws ExperimentFileException;
+    /** Converts the object in a field to a value. */
+    interface ObjectConverter<T> {
+        T convert(FieldReader fields) throws ExperimentFileException;
     }
 
     private final String path;
     private final ObjectNode node;
-    private final Set<String> known = new HashSet<>();
+    private final Set<String> readKeys = new HashSet<>();
 
     private FieldReader(String path, ObjectNode node) {
         this.path = path;
@@ -32,32 +35,32 @@
         if (node instanceof ObjectNode object) {
             return new FieldReader(path, object);
         }
-        throw at(node.place(), path, "must be an object");
+        throw exceptionAt(node.position(), path, "must be an object");
     }
 
-    long integer(String key, long least, long most) throws ExperimentFileException {
+    long integer(String key, long min, long max) throws ExperimentFileException {
         ScalarNode scalar = scalar(key);
         if (!(scalar.value() instanceof Integer || scalar.value() instanceof Long)) {
             throw error(key, "must be a whole number");
         }
         long value = ((Number) scalar.value()).longValue();
-        if (value < least || value > most) {
-            throw error(key, "is " + value + ", must be between " + least + " and " + most);
+        if (value < min || value > max) {
+            throw error(key, value + " is out of range; must be between " + min + " and " + max);
         }
         return value;
     }
 
-    int count(String key, int least, int most) throws ExperimentFileException {
-        return (int) integer(key, least, most);
+    int count(String key, int min, int max) throws ExperimentFileException {
+        return (int) integer(key, min, max);
     }
 
-    double number(String key, double least, double most) throws ExperimentFileException {
+    double number(String key, double min, double max) throws ExperimentFileException {
         if (!(scalar(key).value() instanceof Number number)) {
             throw error(key, "must be a number");
         }
         double value = number.doubleValue();
-        if (!(value >= least && value <= most)) {
-            throw error(key, "is " + value + ", must be between " + least + " and " + most);
+        if (!(value >= min && value <= max)) {
+            throw error(key, value + " is out of range; must be between " + min + " and " + max);
         }
         return value;
     }
@@ -69,14 +72,14 @@
         throw error(key, "must be true or false");
     }
 
-    String text(String key) throws ExperimentFileException {
+    String string(String key) throws ExperimentFileException {
         if (scalar(key).value() instanceof String value && !value.isBlank()) {
             return value;
         }
-        throw error(key, "must be a text that is not empty");
+        throw error(key, "must be a non-blank string");
     }
 
-    /** One of an enumeration's constants, written in lower case with hyphens. */
+    /** Reads the name of an enum constant, written in lower case with hyphens. */
     <E extends Enum<E>> E choice(String key, Class<E> type) throws ExperimentFileException {
         List<String> names = new ArrayList<>();
         for (E constant : type.getEnumConstants()) {
@@ -89,43 +92,44 @@
         throw error(key, "must be one of " + names);
     }
 
-    <T> T object(String key, ObjectFunction<T> reader) throws ExperimentFileException {
-        return read(pathOf(key), required(key), reader);
+    <T> T object(String key, ObjectConverter<T> converter) throws ExperimentFileException {
+        return convert(pathOf(key), required(key), converter);
     }
 
-    <T> List<T> objects(String key, int least, ObjectFunction<T> reader) throws ExperimentFileException {
+    <T> List<T> objectList(String key, int min, ObjectConverter<T> converter) throws ExperimentFileException {
         if (!(required(key) instanceof ArrayNode array)) {
             throw error(key, "must be a list");
         }
-        if (array.items().size() < least) {
-            throw error(key, "must have " + least + " items at least");
+        if (array.items().size() < min) {
+            throw error(key, "must have " + min + " or more items");
         }
         List<T> values = new ArrayList<>();
         for (int i = 0; i < array.items().size(); i++) {
-            values.add(read(pathOf(key) + "[" + i + "]", array.items().get(i), reader));
+            values.add(convert(pathOf(key) + "[" + i + "]", array.items().get(i), converter));
         }
         return List.copyOf(values);
     }
 
-    /** An error at a field of this object. */
+    /** Returns an exception for a field of this object; it points to the object where the field is missing. */
     ExperimentFileException error(String key, String problem) {
         LocatedNode value = node.fields().get(key);
-        return at(value == null ? node.place() : value.place(), pathOf(key), problem);
+        return exceptionAt(value == null ? node.position() : value.position(), pathOf(key), problem);
     }
 
-    /** Refuses keys that were not read. */
-    void end() throws ExperimentFileException {
+    /** Rejects the object if it has a field that no method of this reader has read. */
+    void rejectUnknownFields() throws ExperimentFileException {
         for (Map.Entry<String, LocatedNode> field : node.fields().entrySet()) {
-            if (!known.contains(field.getKey())) {
-                throw at(node.keyPlaces().get(field.getKey()), pathOf(field.getKey()), "is not a known field");
+            if (!readKeys.contains(field.getKey())) {
+                throw exceptionAt(node.keyPositions().get(field.getKey()), pathOf(field.getKey()), "unknown field");
             }
         }
     }
 
-    private static <T> T read(String path, LocatedNode node, ObjectFunction<T> reader) throws ExperimentFileException {
+    private static <T> T convert(String path, LocatedNode node, ObjectConverter<T> converter)
+            throws ExperimentFileException {
         FieldReader fields = of(path, node);
-        T value = reader.read(fields);
-        fields.end();
+        T value = converter.convert(fields);
+        fields.rejectUnknownFields();
         return value;
     }
 
@@ -137,10 +141,10 @@
     }
 
     private LocatedNode required(String key) throws ExperimentFileException {
-        known.add(key);
+        readKeys.add(key);
         LocatedNode value = node.fields().get(key);
         if (value == null) {
-            throw at(node.place(), pathOf(key), "is missing");
+            throw exceptionAt(node.position(), pathOf(key), "is missing");
         }
         return value;
     }
@@ -149,7 +153,7 @@
         return path.isEmpty() ? key : path + "." + key;
     }
 
-    private static ExperimentFileException at(Place place, String path, String problem) {
-        return new ExperimentFileException(place.line(), place.column(), path, problem);
+    private static ExperimentFileException exceptionAt(Position position, String path, String problem) {
+        return new ExperimentFileException(position.line(), position.column(), path, problem);
     }
 }
--- a/scale/src/main/java/gradehub/scale/experiment/LocatedNode.java
+++ b/scale/src/main/java/gradehub/scale/experiment/LocatedNode.java
@@ -4,31 +4,31 @@
 import java.util.List;
 import java.util.Map;
 
-/** A value of an experiment file with the place where it stands. */
+/** A value of an experiment file with its position in the file. */
 sealed interface LocatedNode {
 
-    /** Line and column of a value, from 1. */
-    record Place(int line, int column) {}
+    /** Line and column; the first of each is 1. */
+    record Position(int line, int column) {}
 
-    /** Where the value begins. */
-    Place place();
+    /** Position at which the value starts. */
+    Position position();
 
-    /** An object; its keys keep the order of the file. */
-    record ObjectNode(Place place, Map<String, LocatedNode> fields, Map<String, Place> keyPlaces)
+    /** An object; its fields keep the order of the file. */
+    record ObjectNode(Position position, Map<String, LocatedNode> fields, Map<String, Position> keyPositions)
             implements LocatedNode {
         public ObjectNode {
             fields = new LinkedHashMap<>(fields);
-            keyPlaces = Map.copyOf(keyPlaces);
+            keyPositions = Map.copyOf(keyPositions);
         }
     }
 
-    /** A list. */
-    record ArrayNode(Place place, List<LocatedNode> items) implements LocatedNode {
+    /** A list of values. */
+    record ArrayNode(Position position, List<LocatedNode> items) implements LocatedNode {
         public ArrayNode {
             items = List.copyOf(items);
         }
     }
 
-    /** A text, number, truth value or nothing; {@code value} is a String, Number, Boolean or null. */
-    record ScalarNode(Place place, Object value) implements LocatedNode {}
+    /** A single value; {@code value} is a String, a Number, a Boolean or null. */
+    record ScalarNode(Position position, Object value) implements LocatedNode {}
 }
--- a/scale/src/main/java/gradehub/scale/experiment/LocatedParser.java
+++ b/scale/src/main/java/gradehub/scale/experiment/LocatedParser.java
@@ -8,7 +8,7 @@
 import com.fasterxml.jackson.dataformat.yaml.YAMLFactory;
 import gradehub.scale.experiment.LocatedNode.ArrayNode;
 import gradehub.scale.experiment.LocatedNode.ObjectNode;
-import gradehub.scale.experiment.LocatedNode.Place;
+import gradehub.scale.experiment.LocatedNode.Position;
 import gradehub.scale.experiment.LocatedNode.ScalarNode;
 import java.io.IOException;
 import java.util.ArrayList;
@@ -17,7 +17,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** Reads YAML, and JSON as a part of it, into values that know their place. */
+/** Parses YAML, of which JSON is a subset, into values with their positions in the file. */
 final class LocatedParser {
 
     private static final YAMLFactory YAML = YAMLFactory.builder()
@@ -33,31 +33,32 @@
             }
             LocatedNode root = value(parser);
             if (parser.nextToken() != null) {
-                Place place = place(parser);
-                throw new ExperimentFileException(place.line(), place.column(), "", "a second document");
+                Position position = position(parser);
+                throw new ExperimentFileException(
+                        position.line(), position.column(), "", "the file has more than one YAML document");
             }
             return root;
         } catch (JsonProcessingException e) {
             JsonLocation location = e.getLocation();
             int line = location == null ? 1 : location.getLineNr();
             int column = location == null ? 1 : location.getColumnNr();
-            throw new ExperimentFileException(line, column, "", "no YAML or JSON: " + e.getOriginalMessage());
+            throw new ExperimentFileException(line, column, "", "not valid YAML or JSON: " + e.getOriginalMessage());
         }
     }
 
     private static LocatedNode value(JsonParser parser) throws IOException {
-        Place place = place(parser);
+        Position position = position(parser);
         return switch (parser.currentToken()) {
-            case START_OBJECT -> object(parser, place);
-            case START_ARRAY -> array(parser, place);
-            case VALUE_NUMBER_INT, VALUE_NUMBER_FLOAT -> new ScalarNode(place, number(parser));
-            case VALUE_TRUE, VALUE_FALSE -> new ScalarNode(place, parser.getBooleanValue());
-            case VALUE_NULL -> new ScalarNode(place, null);
-            default -> new ScalarNode(place, parser.getText());
+            case START_OBJECT -> object(parser, position);
+            case START_ARRAY -> array(parser, position);
+            case VALUE_NUMBER_INT, VALUE_NUMBER_FLOAT -> new ScalarNode(position, number(parser));
+            case VALUE_TRUE, VALUE_FALSE -> new ScalarNode(position, parser.getBooleanValue());
+            case VALUE_NULL -> new ScalarNode(position, null);
+            default -> new ScalarNode(position, parser.getText());
         };
     }
 
-    /** A number or, where the parser takes for one what is none, its text. */
+    /** Returns the number, or the text where it looks like a number to the parser but cannot be converted to one. */
     private static Object number(JsonParser parser) throws IOException {
         try {
             return parser.getNumberValue();
@@ -66,28 +67,28 @@
         }
     }
 
-    private static ObjectNode object(JsonParser parser, Place place) throws IOException {
+    private static ObjectNode object(JsonParser parser, Position position) throws IOException {
         Map<String, LocatedNode> fields = new LinkedHashMap<>();
-        Map<String, Place> keyPlaces = new HashMap<>();
+        Map<String, Position> keyPositions = new HashMap<>();
         while (parser.nextToken() != JsonToken.END_OBJECT) {
             String key = parser.currentName();
-            keyPlaces.put(key, place(parser));
+            keyPositions.put(key, position(parser));
             parser.nextToken();
             fields.put(key, value(parser));
         }
-        return new ObjectNode(place, fields, keyPlaces);
+        return new ObjectNode(position, fields, keyPositions);
     }
 
-    private static ArrayNode array(JsonParser parser, Place place) throws IOException {
+    private static ArrayNode array(JsonParser parser, Position position) throws IOException {
         List<LocatedNode> items = new ArrayList<>();
         while (parser.nextToken() != JsonToken.END_ARRAY) {
             items.add(value(parser));
         }
-        return new ArrayNode(place, items);
+        return new ArrayNode(position, items);
     }
 
-    private static Place place(JsonParser parser) {
+    private static Position position(JsonParser parser) {
         JsonLocation location = parser.currentTokenLocation();
-        return new Place(location.getLineNr(), location.getColumnNr());
+        return new Position(location.getLineNr(), location.getColumnNr());
     }
 }
--- a/scale/src/test/java/gradehub/scale/experiment/ExperimentReaderTest.java
+++ b/scale/src/test/java/gradehub/scale/experiment/ExperimentReaderTest.java
@@ -14,10 +14,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What experiment files may hold, and where the error is said to be in one that may not be run. */
+/** Tests reading of valid experiment files, and the position and field given for an error in an invalid one. */
 class ExperimentReaderTest {
 
-    /** Replaces a line of the small experiment and expects the error there. */
+    /** Replaces a line of the small experiment and expects an error at that line. */
     @ParameterizedTest
     @CsvSource(
             delimiter = '|',
@@ -27,14 +27,14 @@
                 "  upstreams: 60            |   upstreams: '60'                        | fleet.upstreams         | whole number",
                 "  upstreams: 60            |   upstreams: 1000000                     | fleet.upstreams         | between",
                 "  utilisation: 0.5         |   utilisation: .nan                      | fleet.utilisation       | number",
-                "  services: 16             |   services: 30                           | fleet.services          | do not make",
+                "  services: 16             |   services: 30                           | fleet.services          | cannot add up to 60",
                 "  hops: 7                  |   hopps: 7                               | fleet.hops              | missing",
                 "  cores: 2                 |   cores: 2, 3                            | upstream.cores          | whole number",
                 "  cores: 2                 |   cores: [2]                             | upstream.cores          | single value",
                 "  secondCopies: true       |   secondCopies: 1                        | calls.secondCopies      | true or false",
                 "  aimMillis: 600           |   aimMillis: 9000                        | calls.deadlineMillis    | between",
                 "  scope: service           |   scope: world                           | listService.scope       | one of",
-                "    - name: south          |     - name: north                        | fleet.regions[1].name   | two things",
+                "    - name: south          |     - name: north                        | fleet.regions[1].name   | duplicate name",
                 "network:                   | network: 3                               | network                 | object",
                 "faults: []                 | faults: {}                               | faults                  | list",
                 "faults: []                 | faults: [{kind: flood}]                  | faults[0].kind          | one of",
@@ -43,28 +43,30 @@
                 "faults: []                 | faults: [{kind: list-service-down, atSeconds: 99, forSeconds: 1}] | faults[0].atSeconds | between",
                 "faults: []                 | faults: [{kind: upstreams-fail, atSeconds: 1, forSeconds: 1, layer: 8, part: 1, errorPart: 1}] | faults[0].layer | between"
             })
-    void namesLineAndFieldOfAnError(String line, String wrong, String field, String problem) {
+    void reportsLineAndFieldOfError(String line, String replacement, String field, String problem) {
         List<String> lines = TestExperiments.smallYaml().lines().toList();
-        int place = lines.stream().map(String::strip).toList().indexOf(line.strip());
-        assertTrue(place >= 0, "the small experiment has the line " + line);
-        String indent = lines.get(place).replace(line.strip(), "");
-        String text = String.join("\n", lines).replace(lines.get(place), indent + wrong.strip());
-        if (wrong.strip().equals("network: 3")) {
+        int index = lines.stream().map(String::strip).toList().indexOf(line.strip());
+        assertTrue(index >= 0, "the small experiment lacks the line " + line);
+        String indent = lines.get(index).replace(line.strip(), "");
+        String text = String.join("\n", lines).replace(lines.get(index), indent + replacement.strip());
+        if (replacement.strip().equals("network: 3")) {
+            // a scalar cannot be followed by the indented fields of the object that it replaces
             text = text.replaceAll("(?m)^  (local|same|other|connect)\\w+: \\d+\n", "");
         }
-        String changed = text;
+        String invalidText = text;
         ExperimentFileException error =
-                assertThrows(ExperimentFileException.class, () -> ExperimentReader.parse(changed));
+                assertThrows(ExperimentFileException.class, () -> ExperimentReader.parse(invalidText));
         assertEquals(field, error.field());
         assertTrue(error.getMessage().contains(problem), error.getMessage());
-        boolean elsewhere = problem.equals("missing") || field.equals("calls.deadlineMillis");
-        if (!elsewhere) {
-            assertEquals(place + 1, error.line(), error.getMessage());
+        // reported for the enclosing object, or for the field with the range that the replaced line changes
+        boolean reportedElsewhere = problem.equals("missing") || field.equals("calls.deadlineMillis");
+        if (!reportedElsewhere) {
+            assertEquals(index + 1, error.line(), error.getMessage());
         }
     }
 
     @Test
-    void refusesAKeyThatIsNotKnownAtItsOwnPlace() {
+    void reportsUnknownFieldAtPositionOfItsKey() {
         String text = TestExperiments.smallYaml().replace("  hops: 7\n", "  hops: 7\n  depth: 7\n");
         int line = text.substring(0, text.indexOf("depth: 7")).split("\n").length;
         ExperimentFileException error = assertThrows(ExperimentFileException.class, () -> ExperimentReader.parse(text));
@@ -75,7 +77,7 @@
 
     @ParameterizedTest
     @CsvSource({"'name: [', 1", "'', 1", "'name: a\nname: b', 2", "'- 1', 1", "'{\"name\": \"a\",\n \"seed\" 1}', 2"})
-    void refusesWhatIsNoObject(String text, int line) {
+    void rejectsTextThatIsNotAValidObject(String text, int line) {
         ExperimentFileException error = assertThrows(ExperimentFileException.class, () -> ExperimentReader.parse(text));
         assertEquals(line, error.line(), error.getMessage());
     }
@@ -85,7 +87,7 @@
         try (Stream<Path> files = Files.list(Path.of("experiments"))) {
             List<Path> experiments =
                     files.filter(file -> file.toString().endsWith(".yaml")).toList();
-            assertTrue(!experiments.isEmpty(), "there are experiments");
+            assertTrue(!experiments.isEmpty(), "no experiment files found");
             for (Path file : experiments) {
                 String name = file.getFileName().toString().replace(".yaml", "");
                 assertEquals(name, ExperimentReader.read(file).name());
@@ -94,7 +96,7 @@
     }
 
     @Test
-    void aFleetAtAnotherSizeKeepsItsProportions() {
+    void scalingKeepsProportionsOfFleet() {
         Experiment half = TestExperiments.small().scaledTo(30);
         assertEquals(30, half.fleet().upstreams());
         assertEquals(8, half.fleet().services());
