--- a/scale/src/main/java/gradehub/scale/experiment/Experiment.java
+++ b/scale/src/main/java/gradehub/scale/experiment/Experiment.java
@@ -3,12 +3,12 @@
 import java.util.List;
 
 /**
- * One experiment, as its file describes it.
+ * An experiment, as described by its file.
  *
- * @param name short name, for result files
- * @param seed seed of all random numbers
- * @param warmupSeconds simulated time before figures count
- * @param measuredSeconds simulated time for which figures count
+ * @param name short name; part of the names of result files
+ * @param seed seed of the random number generators
+ * @param warmupSeconds simulated time before measurement starts
+ * @param measuredSeconds simulated duration of the measurement
  */
 public record Experiment(
         String name,
@@ -22,18 +22,21 @@
         ListServiceModel listService,
         List<Fault> faults) {
 
-    /** Copies the list. */
+    /** Creates an experiment with an immutable copy of the faults. */
     public Experiment {
         faults = List.copyOf(faults);
     }
 
-    /** The same experiment with another seed. */
-    public Experiment withSeed(long otherSeed) {
+    /** Returns this experiment with another seed. */
+    public Experiment withSeed(long newSeed) {
         return new Experiment(
-                name, otherSeed, warmupSeconds, measuredSeconds, fleet, network, upstream, calls, listService, faults);
+                name, newSeed, warmupSeconds, measuredSeconds, fleet, network, upstream, calls, listService, faults);
     }
 
-    /** The same experiment with a fleet of another size; rate and counts of machines in faults go with it. */
+    /**
+     * Returns this experiment with a fleet of another size. The rate of root calls and the number of machines in
+     * each fault, which is at least 1, are scaled in proportion.
+     */
     public Experiment scaledTo(int upstreams) {
         double ratio = (double) upstreams / fleet.upstreams();
         CallModel scaledCalls = new CallModel(
@@ -56,29 +59,30 @@
                 upstream,
                 scaledCalls,
                 listService,
-                faults.stream().map(fault -> atRatio(fault, ratio)).toList());
+                faults.stream().map(fault -> scaledFault(fault, ratio)).toList());
     }
 
-    /** Simulated time of the whole run. */
+    /** Simulated duration of the whole run, warm-up included. */
     public double totalSeconds() {
         return warmupSeconds + measuredSeconds;
     }
 
-    private static Fault atRatio(Fault fault, double ratio) {
+    private static Fault scaledFault(Fault fault, double ratio) {
         if (fault instanceof Fault.MachinesLost lost) {
-            return new Fault.MachinesLost(lost.startSeconds(), lost.durationSeconds(), scaled(lost.count(), ratio));
+            return new Fault.MachinesLost(
+                    lost.startSeconds(), lost.durationSeconds(), scaledCount(lost.count(), ratio));
         }
         if (fault instanceof Fault.Restarts restarts) {
             return new Fault.Restarts(
                     restarts.startSeconds(),
                     restarts.durationSeconds(),
-                    scaled(restarts.count(), ratio),
+                    scaledCount(restarts.count(), ratio),
                     restarts.downSeconds());
         }
         return fault;
     }
 
-    private static int scaled(int count, double ratio) {
+    private static int scaledCount(int count, double ratio) {
         return Math.max(1, (int) Math.round(count * ratio));
     }
 }
--- a/scale/src/main/java/gradehub/scale/experiment/Fleet.java
+++ b/scale/src/main/java/gradehub/scale/experiment/Fleet.java
@@ -3,17 +3,19 @@
 import java.util.List;
 
 /**
- * The machines and services of an experiment: each machine runs one instance of a service, which is an upstream of its
- * callers, and one sidecar. Services stand in layers; layer 0 serves the outside clients, and each layer calls the next.
+ * The machines and services of an experiment. Each machine runs one instance of a service, which is an upstream of its
+ * callers, and one sidecar. Services are arranged in layers: layer 0 serves the outside clients, and the services of
+ * each layer call those of the next.
  *
- * @param upstreams machines, over all services
- * @param services services, over all layers
- * @param minServiceSize upstreams of the smallest service
- * @param maxServiceSize upstreams of the largest service
- * @param hops layers below layer 0, so that a call tree is this deep
- * @param calledServices services that one service calls, at most
- * @param utilisation part of an upstream's cores that is busy at the planned rate
- * @param regions regions with their zones
+ * @param upstreams number of machines, each of which is one upstream
+ * @param services number of services in all layers together
+ * @param minServiceSize least number of upstreams of a service
+ * @param maxServiceSize greatest number of upstreams of a service
+ * @param hops number of layers below layer 0, which is the depth of the call tree
+ * @param calledServices number of services of the next layer that each service calls; more if some of them would
+ *     otherwise have no caller, fewer if the next layer has fewer services
+ * @param utilisation mean fraction of an upstream's cores that is busy at the planned rate of calls
+ * @param regions the regions with their zones
  */
 public record Fleet(
         int upstreams,
@@ -25,35 +27,38 @@
         double utilisation,
         List<Region> regions) {
 
-    /** Copies the list. */
+    /** Creates a fleet with an immutable copy of the regions. */
     public Fleet {
         regions = List.copyOf(regions);
     }
 
-    /** A region: zones close to each other. */
+    /** A group of zones that are close to each other. */
     public record Region(String name, List<Zone> zones) {
-        /** Copies the list. */
+        /** Creates a region with an immutable copy of the zones. */
         public Region {
             zones = List.copyOf(zones);
         }
     }
 
-    /** A zone, with its part of the machines against the other zones' weights. */
+    /** A zone; the probability that a machine is placed in it is proportional to its weight. */
     public record Zone(String name, double weight) {}
 
-    /** The number of layers, layer 0 included. */
+    /** Number of layers, including layer 0. */
     public int layers() {
         return hops + 1;
     }
 
-    /** The same fleet at another size; services go with it, as far as each layer and service size allow. */
-    public Fleet scaledTo(int otherUpstreams) {
-        int scaled = (int) Math.round((double) services * otherUpstreams / upstreams);
-        int most = otherUpstreams / minServiceSize;
-        int least = Math.max(layers(), (otherUpstreams + maxServiceSize - 1) / maxServiceSize);
+    /**
+     * Returns this fleet with another number of machines. The number of services is scaled in proportion, within the
+     * bounds that the number of layers and the size limits of a service set.
+     */
+    public Fleet scaledTo(int newUpstreams) {
+        int scaled = (int) Math.round((double) services * newUpstreams / upstreams);
+        int maxServices = newUpstreams / minServiceSize;
+        int minServices = Math.max(layers(), (newUpstreams + maxServiceSize - 1) / maxServiceSize);
         return new Fleet(
-                otherUpstreams,
-                Math.max(least, Math.min(most, scaled)),
+                newUpstreams,
+                Math.max(minServices, Math.min(maxServices, scaled)),
                 minServiceSize,
                 maxServiceSize,
                 hops,
--- a/scale/src/main/java/gradehub/scale/experiment/ListServiceModel.java
+++ b/scale/src/main/java/gradehub/scale/experiment/ListServiceModel.java
@@ -1,16 +1,17 @@
 package gradehub.scale.experiment;
 
 /**
- * The list service: one server that handles calls one after another.
+ * The simulated list service: a single server that handles calls one after another.
  *
- * @param scope which upstreams a sidecar's list holds
- * @param callMicros time that a call takes
- * @param entryMicros time that each entry in its answer adds
- * @param timeoutMillis a call that waits longer fails
- * @param maxCallers watches open at once; more callers are turned away
- * @param lossDetectionMillis from the loss of a machine to its entry in the list
- * @param pushPeriodMillis changes are gathered for this long and pushed together
- * @param retainedRevisions revisions that a watch may be behind and still get changes alone
+ * @param scope the upstreams in a sidecar's list
+ * @param callMicros service time of a call, without its entries
+ * @param entryMicros additional service time for each entry that is written
+ * @param timeoutMillis limit on the time that a call waits in the queue; a call that would wait longer fails
+ * @param maxCallers maximum number of waiting calls and open watches together; further calls fail
+ * @param lossDetectionMillis time from the loss of a machine until the list shows it as left
+ * @param pushPeriodMillis time for which changes are collected before they are pushed together
+ * @param retainedRevisions maximum number of revisions that a sidecar may be behind and still receive the changes alone
+ *     rather than the complete list
  */
 public record ListServiceModel(
         Scope scope,
@@ -22,11 +23,11 @@
         long pushPeriodMillis,
         int retainedRevisions) {
 
-    /** Which upstreams a sidecar's list holds. */
+    /** The upstreams in a sidecar's list. */
     public enum Scope {
-        /** Those of the services that its application calls. */
+        /** The upstreams of the services that its application calls. */
         SERVICE,
-        /** Those of the whole fleet. */
+        /** The upstreams of the whole fleet. */
         FLEET
     }
 }
--- a/scale/src/main/java/gradehub/scale/experiment/NetworkModel.java
+++ b/scale/src/main/java/gradehub/scale/experiment/NetworkModel.java
@@ -1,13 +1,13 @@
 package gradehub.scale.experiment;
 
 /**
- * One-way delays of messages, and how long a connection attempt to a silent machine lasts.
+ * One-way delays of messages, and the timeout of connection attempts.
  *
- * @param localMicros between an application and its own sidecar
- * @param sameZoneMicros between machines of one zone
- * @param otherZoneMicros between zones of one region
- * @param otherRegionMicros between regions
- * @param connectTimeoutMillis until a connection that does not come up is given up
+ * @param localMicros delay between an application and its own sidecar
+ * @param sameZoneMicros delay between machines of the same zone
+ * @param otherZoneMicros delay between zones of the same region
+ * @param otherRegionMicros delay between regions
+ * @param connectTimeoutMillis time after which a connection attempt fails if the machine does not respond
  */
 public record NetworkModel(
         long localMicros,
--- a/scale/src/main/java/gradehub/scale/experiment/UpstreamModel.java
+++ b/scale/src/main/java/gradehub/scale/experiment/UpstreamModel.java
@@ -1,15 +1,16 @@
 package gradehub.scale.experiment;
 
 /**
- * How upstreams serve.
+ * Capacity of upstreams, and their behaviour while they are cold.
  *
- * @param cores requests in work at once
- * @param queueCapacity requests that may wait; more are turned away
- * @param workVariation coefficient of variation of the work of a request (its distribution is log-normal)
- * @param coldFrom part of its capacity with which an upstream starts
- * @param coldMillis until it has its whole capacity, rising evenly
- * @param overloadFactor a cold upstream falls over when it is sent more than this many times its present capacity
- * @param overloadWindowMillis the span in which that is counted
+ * @param cores number of requests that are processed concurrently
+ * @param queueCapacity maximum number of waiting requests; further requests are rejected
+ * @param workVariation coefficient of variation of the work per request, which is log-normally distributed
+ * @param coldFrom fraction of its full capacity that an upstream has at its start
+ * @param coldMillis time from the start until full capacity; in between, the capacity grows linearly
+ * @param overloadFactor a cold upstream crashes if the load on it exceeds this multiple of its current capacity, plus an
+ *     allowance for random variation
+ * @param overloadWindowMillis length of the sliding window over which that load is measured
  */
 public record UpstreamModel(
         int cores,
--- a/scale/src/main/java/gradehub/scale/experiment/package-info.java
+++ b/scale/src/main/java/gradehub/scale/experiment/package-info.java
@@ -1,2 +1,2 @@
-/** Descriptions of fleets and experiments, and the checked reader of experiment files. */
+/** Model of an experiment, and the validating reader of experiment files. */
 package gradehub.scale.experiment;
