--- a/sidecar/src/main/java/gradehub/LoadShiftingBalancer.java
+++ b/sidecar/src/main/java/gradehub/LoadShiftingBalancer.java
@@ -332,8 +332,8 @@
 
     private void checkMembers(double nowMs) {
         for (UpstreamState upstream : members) {
-            if (probesBeforeSend && upstream.probation.ejected && !upstream.probation.excludes(nowMs)) {
-                upstream.probation.trialSent(nowMs);
+            if (probesBeforeSend && upstream.ejection.ejected && !upstream.ejection.excludes(nowMs)) {
+                upstream.ejection.trialSent(nowMs);
                 actions.probe(upstream.id);
             }
             Attempt oldest = upstream.attempts.peekFirst();
@@ -343,7 +343,7 @@
             double ageMs = nowMs - oldest.sentMs;
             estimateLoad(nowMs, upstream, Math.max(upstream.load, ageMs / oldest.call.stats.baselineMs()));
             ejection.checkUnresponsive(nowMs, upstream, oldest);
-            if (upstream.probation.ejected && settings.limits().secondCopies() && waiting.isEmpty()) {
+            if (upstream.ejection.ejected && settings.limits().secondCopies() && waiting.isEmpty()) {
                 for (Attempt attempt : upstream.attempts) {
                     sendSecondCopy(nowMs, attempt);
                 }
--- a/sidecar/src/main/java/gradehub/OutlierEjection.java
+++ b/sidecar/src/main/java/gradehub/OutlierEjection.java
@@ -19,17 +19,17 @@
 
     /** Whether no request of the class may be sent there now, not even as a trial. */
     boolean excludes(double nowMs, UpstreamState upstream, ClassStats stats) {
-        return upstream.probation.excludes(nowMs) || upstream.probation(stats).excludes(nowMs);
+        return upstream.ejection.excludes(nowMs) || upstream.ejection(stats).excludes(nowMs);
     }
 
     void recordAttempt(double nowMs, UpstreamState upstream, ClassStats stats) {
-        upstream.probation.trialSent(nowMs);
-        upstream.probation(stats).trialSent(nowMs);
+        upstream.ejection.trialSent(nowMs);
+        upstream.ejection(stats).trialSent(nowMs);
     }
 
     void recordFailure(double nowMs, UpstreamState upstream, ClassStats stats) {
-        EjectionState whole = upstream.probation;
-        EjectionState ofClass = upstream.probation(stats);
+        EjectionState whole = upstream.ejection;
+        EjectionState ofClass = upstream.ejection(stats);
         whole.failures++;
         ofClass.failures++;
         if (whole.failures >= CONSECUTIVE_FAILURES) {
@@ -42,7 +42,7 @@
     }
 
     void recordClassSuccess(UpstreamState upstream, ClassStats stats) {
-        EjectionState ofClass = upstream.probation(stats);
+        EjectionState ofClass = upstream.ejection(stats);
         ofClass.failures = 0;
         if (ofClass.ejected) {
             ofClass.ejected = false;
@@ -52,9 +52,9 @@
 
     void recordAnswer(double nowMs, UpstreamState upstream, int members) {
         upstream.lastAnswerMs = nowMs;
-        upstream.probation.failures = 0;
-        if (upstream.probation.ejected) {
-            upstream.probation.ejected = false;
+        upstream.ejection.failures = 0;
+        if (upstream.ejection.ejected) {
+            upstream.ejection.ejected = false;
             actions.log(upstream + " answers again: ejection ended");
             upstream.share = Math.max(upstream.share, 1.0 / members); // a reduced share would hardly recover
         }
@@ -71,9 +71,9 @@
     }
 
     void eject(double nowMs, UpstreamState upstream, String reason) {
-        if (!upstream.probation.ejected) {
+        if (!upstream.ejection.ejected) {
             actions.log(upstream + " is ejected: " + reason + "; sending trial requests");
-            upstream.probation.eject(nowMs);
+            upstream.ejection.eject(nowMs);
         }
     }
 }
--- a/sidecar/src/main/java/gradehub/UpstreamState.java
+++ b/sidecar/src/main/java/gradehub/UpstreamState.java
@@ -25,8 +25,8 @@
     double lastAnswerMs;
     double load; // latency expected at the latest report, in baseline latencies
     double loadUpdatedMs = Double.NEGATIVE_INFINITY;
-    final EjectionState probation = new EjectionState(); // for all classes
-    private final Map<ClassStats, EjectionState> classProbation = new HashMap<>(); // for single classes
+    final EjectionState ejection = new EjectionState(); // for all classes
+    private final Map<ClassStats, EjectionState> classEjections = new HashMap<>(); // for single classes
     final TokenBucket slowStartBudget = new TokenBucket();
 
     UpstreamState(Balancer.Upstream listed) {
@@ -34,8 +34,8 @@
         this.listed = listed;
     }
 
-    EjectionState probation(ClassStats stats) {
-        return classProbation.computeIfAbsent(stats, unused -> new EjectionState());
+    EjectionState ejection(ClassStats stats) {
+        return classEjections.computeIfAbsent(stats, unused -> new EjectionState());
     }
 
     /** The relative margin of a latency below that of an overloaded upstream; negative if above. */
--- a/sidecar/src/main/java/gradehub/node/ClientConnection.java
+++ b/sidecar/src/main/java/gradehub/node/ClientConnection.java
@@ -26,7 +26,7 @@
     /** Limit from the first to the last byte of a request; for the first request it counts from connecting. */
     private static final double REQUEST_MS = 2200;
     /** The same limit during shutdown: requests being received are still awaited, but only briefly. */
-    static final double SHUTDOWN_REQUEST_MS = 500;
+    static final double SHUTDOWN_REQUEST_TIMEOUT_MS = 500;
     /** Limit for the first byte when sockets run short: clients normally connect in order to send at once. */
     private static final double SILENT_MS = 250;
     /** A connection without a request may be closed after being idle for this long. */
@@ -34,7 +34,7 @@
     /** Limit for the client to read an answer. */
     private static final double READ_MS = 5000;
     /** How long input is read after the last answer: closing with unread input would reset it, losing an error answer. */
-    static final double DRAIN_MS = 500;
+    static final double DRAIN_TIMEOUT_MS = 500;
 
     private static final int DRAIN_BYTES = 1 << 18;
     /** Number of pending requests at which reading pauses. */
@@ -289,7 +289,7 @@
         if (server.closing()) {
             closeIfIdle(nowMs);
         }
-        if (drainingSinceMs > 0 && nowMs - drainingSinceMs > DRAIN_MS
+        if (drainingSinceMs > 0 && nowMs - drainingSinceMs > DRAIN_TIMEOUT_MS
                 || writingSinceMs > 0 && nowMs - writingSinceMs > READ_MS) {
             close();
         } else if (receivingSinceMs > 0
@@ -304,7 +304,7 @@
     }
 
     private double requestMs() {
-        return server.closing() ? SHUTDOWN_REQUEST_MS : REQUEST_MS;
+        return server.closing() ? SHUTDOWN_REQUEST_TIMEOUT_MS : REQUEST_MS;
     }
 
     /** Elapsed time alone is not enough: input that arrived in time may be unread for lack of processor time. */
--- a/sidecar/src/main/java/gradehub/node/ClientListener.java
+++ b/sidecar/src/main/java/gradehub/node/ClientListener.java
@@ -113,7 +113,7 @@
         boolean accepts = !paused && room.getAsInt() > 0;
         config().setAutoRead(accepts);
         if (accepts && pendingSetup != null) {
-            acceptAll(1); // the selector does not report a connection that is already accepted
+            acceptPending(1); // the selector does not report a connection that is already accepted
         }
     }
 
@@ -121,7 +121,7 @@
      * Accepts up to {@code most} pending connections: closing the listener would reset them and discard what they have
      * sent. Returns false if an accept failed, so that some may still be pending.
      */
-    boolean acceptAll(int most) {
+    boolean acceptPending(int most) {
         boolean accepts = true;
         List<Object> waiting = new ArrayList<>();
         try {
--- a/sidecar/src/main/java/gradehub/node/ClientServer.java
+++ b/sidecar/src/main/java/gradehub/node/ClientServer.java
@@ -104,7 +104,7 @@
      * Accepts the connections pending in the backlog once no new ones arrive. Returns false if some may still be pending.
      */
     boolean acceptPending() {
-        return listener == null || listener.acceptAll(sockets.remainingClientSockets());
+        return listener == null || listener.acceptPending(sockets.remainingClientSockets());
     }
 
     void stopListening() {
--- a/sidecar/src/main/java/gradehub/node/Discovery.java
+++ b/sidecar/src/main/java/gradehub/node/Discovery.java
@@ -88,7 +88,7 @@
     }
 
     /** Returns the delay before the watch would be reopened if it closed now. */
-    long pauseMs() {
+    long reconnectDelayMs() {
         return reconnectDelayMs;
     }
 
@@ -114,7 +114,7 @@
      * Blocks until discovery has sent a list or the timeout expires. Must not be called on the event loop. The list in
      * the configuration may name upstreams that were removed while the sidecar was down.
      */
-    void awaitAnswer(long timeoutMs) throws InterruptedException {
+    void awaitList(long timeoutMs) throws InterruptedException {
         if (firstList.getCount() == 0) {
             return;
         }
@@ -132,7 +132,7 @@
      * Switches to another discovery address. An open watch is replaced by one that requests the full list; the current
      * list stays in use until that arrives. Data in flight from the old address is dropped, since it may be stale.
      */
-    void moveTo(InetSocketAddress other) {
+    void changeAddress(InetSocketAddress other) {
         if (other.equals(address)) {
             return;
         }
--- a/sidecar/src/main/java/gradehub/node/Sidecar.java
+++ b/sidecar/src/main/java/gradehub/node/Sidecar.java
@@ -29,7 +29,7 @@
     private static final long LISTENER_CLOSE_DELAY_MS = 100;
     /** Wait with no request in flight: for a partly read request, for its answer to be read, and for checking both. */
     private static final long CONNECTION_DRAIN_MS =
-            (long) (ClientConnection.SHUTDOWN_REQUEST_MS + ClientConnection.DRAIN_MS) + 200;
+            (long) (ClientConnection.SHUTDOWN_REQUEST_TIMEOUT_MS + ClientConnection.DRAIN_TIMEOUT_MS) + 200;
 
     private static final long POLL_MS = 10;
     /** Limit on attempts, {@link #POLL_MS} apart, to accept pending connections before the listener closes. */
@@ -81,7 +81,7 @@
             signal.onSignal(() -> sidecar.reload(environment));
             Warmup.run(); // discovery answers meanwhile
             System.gc(); // otherwise the first collection while serving copies all objects left over from startup
-            sidecar.discovery.awaitAnswer(discoveryWaitMs());
+            sidecar.discovery.awaitList(discoveryWaitMs());
             onSigterm(new Thread(() -> sidecar.stopAndExit(log), "stop"));
             retry.runUntilSuccess("listening", () -> sidecar.listen(config));
             LOG.log(System.Logger.Level.INFO, "listening on " + sidecar.address());
@@ -183,7 +183,7 @@
     boolean reload(Map<String, String> environment) {
         try {
             Config reloaded = Config.load(environment);
-            loop.execute(() -> discovery.moveTo(reloaded.discovery()));
+            loop.execute(() -> discovery.changeAddress(reloaded.discovery()));
             return true;
         } catch (Config.InvalidConfigException e) {
             reloadLog.warn("ignoring the new configuration, keeping the old one: " + e.getMessage());
@@ -219,7 +219,7 @@
     }
 
     long watchPauseMs() {
-        return discovery.pauseMs();
+        return discovery.reconnectDelayMs();
     }
 
     /** Closes the watch and opens a new one. */
--- a/sidecar/src/test/java/gradehub/OutlierEjectionTest.java
+++ b/sidecar/src/test/java/gradehub/OutlierEjectionTest.java
@@ -129,9 +129,9 @@
         send(1000);
         send(1000);
         ejection.checkUnresponsive(1000 + 2 * TYPICAL_MS, upstream, oldest);
-        assertFalse(upstream.probation.ejected);
+        assertFalse(upstream.ejection.ejected);
         ejection.checkUnresponsive(1000 + 2 * TYPICAL_MS + 1, upstream, oldest);
-        assertTrue(upstream.probation.ejected);
+        assertTrue(upstream.ejection.ejected);
     }
 
     @Test
@@ -139,6 +139,6 @@
         Attempt oldest = send(1000);
         ejection.recordAnswer(1500, upstream, 4);
         ejection.checkUnresponsive(1500 + 8 * TYPICAL_MS, upstream, oldest);
-        assertFalse(upstream.probation.ejected);
+        assertFalse(upstream.ejection.ejected);
     }
 }
