--- a/scale/src/main/java/gradehub/scale/model/Event.java
+++ b/scale/src/main/java/gradehub/scale/model/Event.java
@@ -1,12 +1,12 @@
 package gradehub.scale.model;
 
-/** Something that happens at one moment of simulated time. */
+/** An action that runs at a scheduled point in simulated time. */
 @FunctionalInterface
 interface Event {
-    /** Lets it happen. */
+    /** Runs the event at its scheduled time. */
     void fire(long nowMicros);
 
-    /** Whether it would change nothing any more, so that it may be dropped. Once true it stays so. */
+    /** Whether firing would have no effect, so that the queue may discard the event. Once true, it stays true. */
     default boolean isObsolete() {
         return false;
     }
--- a/scale/src/main/java/gradehub/scale/model/EventHeap.java
+++ b/scale/src/main/java/gradehub/scale/model/EventHeap.java
@@ -2,23 +2,23 @@
 
 import java.util.Arrays;
 
-/** Events in order of time and, at one time, of their sequence: a heap with four children a node, in plain arrays. */
+/** A priority queue of events by time and then by sequence number: a 4-ary min-heap in parallel arrays. */
 final class EventHeap {
 
-    private static final int CHILDREN = 4;
-    private static final int FIRST_CAPACITY = 1024;
+    private static final int ARITY = 4;
+    private static final int INITIAL_CAPACITY = 1024;
 
-    private long[] times = new long[FIRST_CAPACITY];
-    private long[] sequences = new long[FIRST_CAPACITY];
-    private Event[] events = new Event[FIRST_CAPACITY];
+    private long[] times = new long[INITIAL_CAPACITY];
+    private long[] sequences = new long[INITIAL_CAPACITY];
+    private Event[] events = new Event[INITIAL_CAPACITY];
     private int size;
 
     boolean isEmpty() {
         return size == 0;
     }
 
-    /** The time of the first event; the heap must not be empty. */
-    long firstMicros() {
+    /** The time of the earliest event; the heap must not be empty. */
+    long earliestMicros() {
         return times[0];
     }
 
@@ -32,9 +32,9 @@
         siftUp(size++, timeMicros, sequence, event);
     }
 
-    /** Takes the first event out; the heap must not be empty. */
-    Event removeFirst() {
-        Event first = events[0];
+    /** Removes and returns the earliest event; the heap must not be empty. */
+    Event removeEarliest() {
+        Event earliest = events[0];
         size--;
         long time = times[size];
         long sequence = sequences[size];
@@ -43,43 +43,43 @@
         if (size > 0) {
             siftDown(time, sequence, event);
         }
-        return first;
+        return earliest;
     }
 
     private void siftUp(int start, long time, long sequence, Event event) {
-        int place = start;
-        while (place > 0) {
-            int parent = (place - 1) / CHILDREN;
+        int index = start;
+        while (index > 0) {
+            int parent = (index - 1) / ARITY;
             if (!isBefore(time, sequence, parent)) {
                 break;
             }
-            move(parent, place);
-            place = parent;
+            move(parent, index);
+            index = parent;
         }
-        set(place, time, sequence, event);
+        set(index, time, sequence, event);
     }
 
     private void siftDown(long time, long sequence, Event event) {
-        int place = 0;
+        int index = 0;
         while (true) {
-            int child = earliestChild(place);
+            int child = earliestChild(index);
             if (child < 0 || isBefore(time, sequence, child)) {
                 break;
             }
-            move(child, place);
-            place = child;
+            move(child, index);
+            index = child;
         }
-        set(place, time, sequence, event);
+        set(index, time, sequence, event);
     }
 
-    private int earliestChild(int place) {
-        int first = CHILDREN * place + 1;
-        if (first >= size) {
+    private int earliestChild(int index) {
+        int firstChild = ARITY * index + 1;
+        if (firstChild >= size) {
             return -1;
         }
-        int end = Math.min(first + CHILDREN, size);
-        int earliest = first;
-        for (int child = first + 1; child < end; child++) {
+        int end = Math.min(firstChild + ARITY, size);
+        int earliest = firstChild;
+        for (int child = firstChild + 1; child < end; child++) {
             if (isBefore(times[child], sequences[child], earliest)) {
                 earliest = child;
             }
@@ -87,17 +87,17 @@
         return earliest;
     }
 
-    private boolean isBefore(long time, long sequence, int place) {
-        return time < times[place] || time == times[place] && sequence < sequences[place];
+    private boolean isBefore(long time, long sequence, int index) {
+        return time < times[index] || time == times[index] && sequence < sequences[index];
     }
 
     private void move(int from, int to) {
         set(to, times[from], sequences[from], events[from]);
     }
 
-    private void set(int place, long time, long sequence, Event event) {
-        times[place] = time;
-        sequences[place] = sequence;
-        events[place] = event;
+    private void set(int index, long time, long sequence, Event event) {
+        times[index] = time;
+        sequences[index] = sequence;
+        events[index] = event;
     }
 }
--- a/scale/src/main/java/gradehub/scale/model/EventQueue.java
+++ b/scale/src/main/java/gradehub/scale/model/EventQueue.java
@@ -3,25 +3,27 @@
 import java.util.Arrays;
 
 /**
- * The simulated clock: events in order of time and, at one time, in the order in which they were scheduled. Time is in
- * whole microseconds. What is due soon stands in a heap; what is due later waits unsorted in slots of about a
- * millisecond, so that the many time-outs that come to nothing cost little.
+ * The event queue and clock of the simulation. Events fire in order of time; those with equal times fire in the order
+ * in which they were scheduled. Time is in whole microseconds. Events due soon are in a heap; later ones wait unsorted
+ * in a timing wheel with slots of about a millisecond, so that the many timeouts that become obsolete cost little.
  */
 final class EventQueue {
 
+    /** The length of a slot in microseconds is 2 to this power. */
     private static final int SLOT_BITS = 10;
-    private static final int SLOTS = 8192;
 
-    private final EventHeap due = new EventHeap();
-    private final Slot[] slots = new Slot[SLOTS];
-    /** The latest slot whose events are in the heap. */
-    private long dueSlot;
+    private static final int SLOT_COUNT = 8192;
+
+    private final EventHeap dueEvents = new EventHeap();
+    private final Slot[] slots = new Slot[SLOT_COUNT];
+    /** The latest slot, counted from time 0, whose events are in the heap. */
+    private long lastDueSlot;
 
     private long nextSequence;
     private long nowMicros;
-    private long fired;
+    private long firedCount;
 
-    /** Events of one slot, unsorted. */
+    /** The events of one slot of the timing wheel, unsorted. */
     private static final class Slot {
         private long[] times = new long[4];
         private long[] sequences = new long[4];
@@ -44,63 +46,64 @@
         Arrays.setAll(slots, slot -> new Slot());
     }
 
-    /** The present simulated time. */
+    /** The current simulated time. */
     long nowMicros() {
         return nowMicros;
     }
 
-    /** How many events have happened. */
+    /** The number of events that have fired; discarded ones are not counted. */
     long firedCount() {
-        return fired;
+        return firedCount;
     }
 
-    /** Schedules an event; one in the past happens at the present time. */
+    /** Schedules an event; a time in the past is replaced by the current time. */
     void scheduleAt(long timeMicros, Event event) {
-        place(Math.max(nowMicros, timeMicros), nextSequence++, event);
+        enqueue(Math.max(nowMicros, timeMicros), nextSequence++, event);
     }
 
-    /** Schedules an event after a delay. */
+    /** Schedules an event after a delay from the current time. */
     void scheduleAfter(long delayMicros, Event event) {
         scheduleAt(nowMicros + delayMicros, event);
     }
 
-    /** Lets all events happen up to this time, that time included, and moves the clock there. */
+    /** Fires all events up to and including this time and advances the clock to it. */
     void runUntil(long endMicros) {
         while (true) {
-            while (!due.isEmpty() && due.firstMicros() <= endMicros) {
-                nowMicros = due.firstMicros();
-                fired++;
-                due.removeFirst().fire(nowMicros);
+            while (!dueEvents.isEmpty() && dueEvents.earliestMicros() <= endMicros) {
+                nowMicros = dueEvents.earliestMicros();
+                firedCount++;
+                dueEvents.removeEarliest().fire(nowMicros);
             }
-            if (dueSlot >= endMicros >> SLOT_BITS) {
+            if (lastDueSlot >= endMicros >> SLOT_BITS) {
                 break;
             }
-            makeNextSlotDue();
+            advanceSlot();
         }
         nowMicros = Math.max(nowMicros, endMicros);
     }
 
-    /** Events further away than there are slots wait in the last slot, and are placed anew from there. */
-    private void place(long timeMicros, long sequence, Event event) {
+    /** Adds an event to the heap or to its slot. One beyond the last slot waits in that slot, to be enqueued again. */
+    private void enqueue(long timeMicros, long sequence, Event event) {
         long slot = timeMicros >> SLOT_BITS;
-        if (slot <= dueSlot) {
-            due.add(timeMicros, sequence, event);
+        if (slot <= lastDueSlot) {
+            dueEvents.add(timeMicros, sequence, event);
         } else {
-            long place = Math.min(slot, dueSlot + SLOTS - 1);
-            slots[(int) (place % SLOTS)].add(timeMicros, sequence, event);
+            long heldSlot = Math.min(slot, lastDueSlot + SLOT_COUNT - 1);
+            slots[(int) (heldSlot % SLOT_COUNT)].add(timeMicros, sequence, event);
         }
     }
 
-    private void makeNextSlotDue() {
-        dueSlot++;
-        Slot slot = slots[(int) (dueSlot % SLOTS)];
+    /** Advances by one slot and enqueues its events again, except for obsolete ones, which it discards. */
+    private void advanceSlot() {
+        lastDueSlot++;
+        Slot slot = slots[(int) (lastDueSlot % SLOT_COUNT)];
         int size = slot.size;
         slot.size = 0;
         for (int i = 0; i < size; i++) {
             Event event = slot.events[i];
             slot.events[i] = null;
             if (!event.isObsolete()) {
-                place(slot.times[i], slot.sequences[i], event);
+                enqueue(slot.times[i], slot.sequences[i], event);
             }
         }
     }
--- a/scale/src/test/java/gradehub/scale/model/EventQueueTest.java
+++ b/scale/src/test/java/gradehub/scale/model/EventQueueTest.java
@@ -11,50 +11,50 @@
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
 
-/** The order of events on the simulated clock. */
+/** Tests the order in which the event queue fires events. */
 class EventQueueTest {
 
-    private record Fired(long atMicros, int number) {}
+    private record Firing(long atMicros, int number) {}
 
-    /** Times within the slots, on their edges and far beyond them; one in three events schedules a further one. */
+    /** Uses times within slots, on slot boundaries and far beyond the last slot; a third of the events schedule another. */
     @Property(tries = 300, seed = "20")
-    void eventsHappenInOrderOfTimeAndThenOfScheduling(
+    void eventsFireInOrderOfTimeAndThenOfScheduling(
             @ForAll @Size(max = 200) List<@LongRange(min = 0, max = 30_000_000) Long> times) {
         EventQueue queue = new EventQueue();
-        List<Fired> fired = new ArrayList<>();
-        List<Fired> expected = new ArrayList<>();
+        List<Firing> fired = new ArrayList<>();
+        List<Firing> expected = new ArrayList<>();
         for (int i = 0; i < times.size(); i++) {
             int number = i;
             long time = i % 2 == 0 ? times.get(i) : times.get(i) / 1024 * 1024;
-            expected.add(new Fired(time, number));
+            expected.add(new Firing(time, number));
             queue.scheduleAt(time, now -> {
-                fired.add(new Fired(now, number));
+                fired.add(new Firing(now, number));
                 if (number % 3 == 0) {
-                    queue.scheduleAfter(time % 7000, later -> fired.add(new Fired(later, times.size() + number)));
+                    queue.scheduleAfter(time % 7000, later -> fired.add(new Firing(later, times.size() + number)));
                 }
             });
             if (number % 3 == 0) {
-                expected.add(new Fired(time + time % 7000, times.size() + number));
+                expected.add(new Firing(time + time % 7000, times.size() + number));
             }
         }
         queue.runUntil(15_000_000);
         queue.runUntil(40_000_000);
-        List<Fired> inOrder = new ArrayList<>(fired);
-        inOrder.sort(Comparator.comparingLong(Fired::atMicros));
-        assertEquals(inOrder, fired, "in order of time");
-        List<Fired> first =
+        List<Firing> sortedByTime = new ArrayList<>(fired);
+        sortedByTime.sort(Comparator.comparingLong(Firing::atMicros));
+        assertEquals(sortedByTime, fired, "events must fire in order of time");
+        List<Firing> initial =
                 fired.stream().filter(event -> event.number < times.size()).toList();
-        List<Fired> expectedFirst = expected.stream()
+        List<Firing> expectedInitial = expected.stream()
                 .filter(event -> event.number < times.size())
-                .sorted(Comparator.comparingLong(Fired::atMicros)) // which keeps the order of scheduling
+                .sorted(Comparator.comparingLong(Firing::atMicros)) // stable: keeps the order of scheduling
                 .toList();
-        assertEquals(expectedFirst, first);
-        assertEquals(expected.size(), fired.size(), "each event happens once");
+        assertEquals(expectedInitial, initial);
+        assertEquals(expected.size(), fired.size(), "each event must fire exactly once");
         assertEquals(40_000_000, queue.nowMicros());
     }
 
     @Test
-    void whatIsVoidIsDroppedAndCountsForNothing() {
+    void obsoleteEventsAreDiscardedAndNotCounted() {
         EventQueue queue = new EventQueue();
         List<Long> fired = new ArrayList<>();
         queue.scheduleAt(5_000_000, new Event() {
@@ -75,7 +75,7 @@
     }
 
     @Test
-    void anEventInThePastHappensNow() {
+    void anEventScheduledInThePastFiresNow() {
         EventQueue queue = new EventQueue();
         List<Long> fired = new ArrayList<>();
         queue.scheduleAt(100, now -> queue.scheduleAt(50, fired::add));
