--- a/scale/src/main/java/gradehub/scale/model/ApplicationCall.java
+++ b/scale/src/main/java/gradehub/scale/model/ApplicationCall.java
@@ -11,12 +11,12 @@
     }
 
     private final World world;
-    private final Operation operation;
+    private final FanOut operation;
     private final ServiceClient client;
     private final long deadlineMicros;
     private int triesLeft;
 
-    ApplicationCall(World world, Operation operation, ServiceClient client, long deadlineMicros, int tries) {
+    ApplicationCall(World world, FanOut operation, ServiceClient client, long deadlineMicros, int tries) {
         this.world = world;
         this.operation = operation;
         this.client = client;
--- a/scale/src/main/java/gradehub/scale/model/Attempt.java
+++ b/scale/src/main/java/gradehub/scale/model/Attempt.java
@@ -8,7 +8,7 @@
     final ServiceClient client;
     final ServiceClient.Exchange exchange;
     final int number;
-    final ModelUpstream upstream;
+    final SimulatedUpstream upstream;
     final long sentMicros;
     /** When the sidecar stops waiting for it. */
     final long deadlineMicros;
@@ -21,7 +21,7 @@
             ServiceClient client,
             ServiceClient.Exchange exchange,
             int number,
-            ModelUpstream upstream,
+            SimulatedUpstream upstream,
             long sentMicros,
             long deadlineMicros) {
         this.client = client;
--- a/scale/src/main/java/gradehub/scale/model/ColdBudget.java
+++ b/scale/src/main/java/gradehub/scale/model/ColdStart.java
@@ -8,7 +8,7 @@
  * N the requests of mean work that are {@code overloadFactor} times its present capacity over the span in question, it
  * falls over when more than N + 2 sqrt(N) + 2 reach it within a span.
  */
-final class ColdBudget {
+final class ColdStart {
 
     private record Arrival(long atMicros, double requests) {}
 
@@ -21,7 +21,7 @@
     private long startedMicros;
     private long warmMicros;
 
-    ColdBudget(UpstreamModel model, double warmRequestsPerMicro) {
+    ColdStart(UpstreamModel model, double warmRequestsPerMicro) {
         this.model = model;
         this.warmRequestsPerMicro = warmRequestsPerMicro;
         this.coldMicros = model.coldMillis() * World.MICROS_PER_MILLI;
--- a/scale/src/main/java/gradehub/scale/model/Operation.java
+++ b/scale/src/main/java/gradehub/scale/model/FanOut.java
@@ -1,7 +1,7 @@
 package gradehub.scale.model;
 
 /** What an application does for one request: its calls to the next layer, all at once. It ends with the last of them. */
-final class Operation {
+final class FanOut {
 
     /** Told of the end of an operation. */
     @FunctionalInterface
@@ -11,22 +11,22 @@
     }
 
     private final World world;
-    private final ModelSidecar sidecar;
+    private final SimulatedSidecar sidecar;
     private final int life;
     private final End end;
     private int pending;
     private boolean failed;
 
-    private Operation(World world, ModelSidecar sidecar, End end) {
+    private FanOut(World world, SimulatedSidecar sidecar, End end) {
         this.world = world;
         this.sidecar = sidecar;
-        this.life = sidecar.life();
+        this.life = sidecar.incarnation();
         this.end = end;
     }
 
     /** Begins an operation of the application beside this sidecar. */
-    static void begin(World world, ModelSidecar sidecar, long nowMicros, long deadlineMicros, int tries, End end) {
-        Operation operation = new Operation(world, sidecar, end);
+    static void begin(World world, SimulatedSidecar sidecar, long nowMicros, long deadlineMicros, int tries, End end) {
+        FanOut operation = new FanOut(world, sidecar, end);
         operation.pending = sidecar.drawCalls();
         if (operation.pending == 0) {
             end.ended(nowMicros, true);
@@ -44,7 +44,7 @@
 
     /** Whether the process that it runs in still lives. */
     boolean isLive() {
-        return sidecar.life() == life;
+        return sidecar.incarnation() == life;
     }
 
     void callEnded(long nowMicros, boolean served) {
--- a/scale/src/main/java/gradehub/scale/model/FaultSchedule.java
+++ b/scale/src/main/java/gradehub/scale/model/FaultSchedule.java
@@ -26,9 +26,9 @@
         long from = World.micros(fault.atSeconds());
         long until = World.micros(fault.atSeconds() + fault.forSeconds());
         if (fault instanceof Fault.UpstreamsFail fail) {
-            onPart(from, until, fail.layer(), fail.part(), ModelUpstream::setErrorPart, fail.errorPart(), 0);
+            onPart(from, until, fail.layer(), fail.part(), SimulatedUpstream::setErrorFraction, fail.errorPart(), 0);
         } else if (fault instanceof Fault.UpstreamsSlow slow) {
-            onPart(from, until, slow.layer(), slow.part(), ModelUpstream::setSlowFactor, slow.factor(), 1);
+            onPart(from, until, slow.layer(), slow.part(), SimulatedUpstream::setSlowdownFactor, slow.factor(), 1);
         } else if (fault instanceof Fault.MachinesLost lost) {
             lose(from, until, drawn(lost.count()));
         } else if (fault instanceof Fault.Restarts restarts) {
@@ -53,7 +53,7 @@
             long until,
             int layer,
             double part,
-            ObjDoubleConsumer<ModelUpstream> setting,
+            ObjDoubleConsumer<SimulatedUpstream> setting,
             double faulty,
             double sound) {
         for (Topology.Service service : world.topology.layer(layer)) {
@@ -61,7 +61,7 @@
             Collections.shuffle(machines, random);
             int count = (int) Math.floor(part * machines.size() + random.nextDouble());
             for (Topology.Machine machine : machines.subList(0, Math.min(count, machines.size()))) {
-                ModelUpstream upstream = world.upstreams.get(machine.number());
+                SimulatedUpstream upstream = world.upstreams.get(machine.number());
                 world.queue.at(from, now -> setting.accept(upstream, faulty));
                 world.queue.at(until, now -> setting.accept(upstream, sound));
             }
@@ -84,7 +84,7 @@
     private void lose(long from, long until, List<Topology.Machine> machines) {
         for (Topology.Machine machine : machines) {
             world.queue.at(from, now -> {
-                world.upstreams.get(machine.number()).lose();
+                world.upstreams.get(machine.number()).loseMachine();
                 world.sidecars.get(machine.number()).stop(now);
                 world.listService.noticeLoss(now, machine);
             });
@@ -96,7 +96,7 @@
         List<Topology.Machine> machines = drawn(restarts.count());
         for (int i = 0; i < machines.size(); i++) {
             Topology.Machine machine = machines.get(i);
-            ModelUpstream upstream = world.upstreams.get(machine.number());
+            SimulatedUpstream upstream = world.upstreams.get(machine.number());
             long leaves = from + spreadMicros * i / machines.size();
             long ends = leaves + DRAIN_MICROS;
             world.queue.at(
@@ -113,14 +113,14 @@
     private void startAgain(long nowMicros, Topology.Machine machine) {
         world.upstreams.get(machine.number()).start(nowMicros);
         world.listService.change(nowMicros, machine, ListEntry.Phase.ACTIVE, nowMicros);
-        ModelSidecar sidecar = world.sidecars.get(machine.number());
+        SimulatedSidecar sidecar = world.sidecars.get(machine.number());
         sidecar.start(nowMicros, world.listService.wholeList(machine));
     }
 
     private void configure(long from, long spreadMicros) {
-        List<ModelSidecar> sidecars = world.sidecars;
+        List<SimulatedSidecar> sidecars = world.sidecars;
         for (int i = 0; i < sidecars.size(); i++) {
-            ModelSidecar sidecar = sidecars.get(i);
+            SimulatedSidecar sidecar = sidecars.get(i);
             world.queue.at(
                     from + spreadMicros * i / sidecars.size(),
                     now -> sidecar.listClient().moveTo(now));
--- a/scale/src/main/java/gradehub/scale/model/ListClient.java
+++ b/scale/src/main/java/gradehub/scale/model/ListClient.java
@@ -10,7 +10,7 @@
     private static final double CONNECT_MILLIS = DiscoveryTimeouts.CONNECT_TIMEOUT_MS;
 
     private final World world;
-    private final ModelSidecar sidecar;
+    private final SimulatedSidecar sidecar;
     private Watch watch;
     private int revision = -1;
     private long heardMicros;
@@ -20,7 +20,7 @@
     /** When the sidecar was told of another list service from which it has no list yet, or -1. */
     private long movedMicros = -1;
 
-    ListClient(World world, ModelSidecar sidecar) {
+    ListClient(World world, SimulatedSidecar sidecar) {
         this.world = world;
         this.sidecar = sidecar;
     }
@@ -79,7 +79,7 @@
         }
         close(nowMicros);
         lost = true;
-        sidecar.listFailed(nowMicros);
+        sidecar.watchFailed(nowMicros);
     }
 
     /** Something has come over the watch; {@code update} is null for an empty line. */
@@ -91,7 +91,7 @@
         if (update != null) {
             measure(nowMicros, update);
             revision = update.revision();
-            sidecar.tell(nowMicros, update.complete() ? ListKind.FULL : ListKind.DELTA, update.entries());
+            sidecar.updateUpstreams(nowMicros, update.complete() ? ListKind.FULL : ListKind.DELTA, update.entries());
         }
     }
 
--- a/scale/src/main/java/gradehub/scale/model/ListService.java
+++ b/scale/src/main/java/gradehub/scale/model/ListService.java
@@ -56,7 +56,7 @@
     }
 
     boolean reaches(Topology.Machine machine) {
-        return !world.upstreams.get(machine.number()).isSilent() && world.network.reachesListService(machine);
+        return !world.upstreams.get(machine.number()).isMachineLost() && world.network.reachesListService(machine);
     }
 
     /** Since when it is up and the path from this machine is whole. */
--- a/scale/src/main/java/gradehub/scale/model/RootClients.java
+++ b/scale/src/main/java/gradehub/scale/model/RootClients.java
@@ -38,11 +38,11 @@
 
     /** Clients of a machine that is down go elsewhere, outside of the fleet. */
     private void arrive(long nowMicros) {
-        ModelSidecar sidecar = world.sidecars.get(machine.number());
+        SimulatedSidecar sidecar = world.sidecars.get(machine.number());
         if (sidecar.isRunning()) {
             world.measurements.rootOffered(nowMicros);
             int tries = world.experiment.calls().rootTries();
-            Operation.begin(
+            FanOut.begin(
                     world,
                     sidecar,
                     nowMicros,
--- a/scale/src/main/java/gradehub/scale/model/ServiceClient.java
+++ b/scale/src/main/java/gradehub/scale/model/ServiceClient.java
@@ -37,14 +37,14 @@
     private static final double[] NO_REPORT = {};
 
     private final World world;
-    private final ModelSidecar sidecar;
+    private final SimulatedSidecar sidecar;
     private final int maxAttempts;
     private final Balancer balancer;
     private final Map<Integer, Exchange> exchanges = new HashMap<>();
     private int lastRequest;
     private boolean live = true;
 
-    ServiceClient(World world, ModelSidecar sidecar, Balancer.Settings settings, long seed) {
+    ServiceClient(World world, SimulatedSidecar sidecar, Balancer.Settings settings, long seed) {
         this.world = world;
         this.sidecar = sidecar;
         this.maxAttempts = settings.limits().maxAttempts();
@@ -132,7 +132,7 @@
         long now = world.queue.nowMicros();
         long wanted = timeoutMs == 0 ? exchange.deadlineMicros : now + Math.round(timeoutMs * World.MICROS_PER_MILLI);
         long deadline = Math.min(wanted, exchange.deadlineMicros);
-        ModelUpstream target = world.upstreams.get(upstream);
+        SimulatedUpstream target = world.upstreams.get(upstream);
         Attempt attempt = new Attempt(this, exchange, exchange.attempts.size(), target, now, deadline);
         exchange.attempts.add(attempt);
         exchange.out++;
--- a/scale/src/main/java/gradehub/scale/model/ModelSidecar.java
+++ b/scale/src/main/java/gradehub/scale/model/SimulatedSidecar.java
@@ -20,7 +20,7 @@
  * A machine's sidecar: one decision module for each service that its application calls, and one client of the list
  * service for all of them. The first module decides when the list is asked for again.
  */
-final class ModelSidecar {
+final class SimulatedSidecar {
 
     private static final double TICK_MILLIS = 5;
     private static final double LATE_WORTH = 0.5;
@@ -35,7 +35,7 @@
     private int life;
     private boolean running;
 
-    ModelSidecar(World world, Topology.Machine machine) {
+    SimulatedSidecar(World world, Topology.Machine machine) {
         this.world = world;
         this.machine = machine;
         this.random = world.newRandom();
@@ -53,7 +53,7 @@
     }
 
     /** Counts the processes that have run here. */
-    int life() {
+    int incarnation() {
         return life;
     }
 
@@ -80,7 +80,7 @@
             clients.add(new ServiceClient(world, this, settings(world.experiment, callers), random.nextLong()));
         }
         listClient.start(nowMicros);
-        tell(nowMicros, ListKind.CACHED, known);
+        updateUpstreams(nowMicros, ListKind.CACHED, known);
         clients.forEach(client -> client.start(nowMicros));
     }
 
@@ -129,12 +129,12 @@
     }
 
     /** The watch has failed: the first module decides when it is opened again. */
-    void listFailed(long nowMicros) {
+    void watchFailed(long nowMicros) {
         clients.get(0).listed(nowMicros, ListKind.FAILED, List.of());
     }
 
     /** Tells each module of the listed machines of its service. */
-    void tell(long nowMicros, ListKind kind, List<ListEntry> listed) {
+    void updateUpstreams(long nowMicros, ListKind kind, List<ListEntry> listed) {
         for (int i = 0; i < clients.size(); i++) {
             List<Upstream> entries = new ArrayList<>();
             for (ListEntry entry : listed) {
--- a/scale/src/main/java/gradehub/scale/model/ModelUpstream.java
+++ b/scale/src/main/java/gradehub/scale/model/SimulatedUpstream.java
@@ -8,7 +8,7 @@
 import java.util.SplittableRandom;
 
 /** A machine's application as an upstream: a queue before some cores, slow while it is cold, and the faults it has. */
-final class ModelUpstream {
+final class SimulatedUpstream {
 
     private final World world;
     private final Topology.Machine machine;
@@ -21,7 +21,7 @@
     private final double logDeviation;
     private final ArrayDeque<Attempt> waiting = new ArrayDeque<>();
     private final List<Attempt> held = new ArrayList<>();
-    private final ColdBudget coldBudget;
+    private final ColdStart coldBudget;
     private int running;
     private int life;
     private boolean up = true;
@@ -31,7 +31,7 @@
     private double errorPart;
     private double slowFactor = 1;
 
-    ModelUpstream(World world, Topology.Machine machine) {
+    SimulatedUpstream(World world, Topology.Machine machine) {
         this.world = world;
         this.machine = machine;
         this.model = world.experiment.upstream();
@@ -45,7 +45,7 @@
         double variance = Math.log1p(model.workVariation() * model.workVariation());
         this.logMean = Math.log(meanWorkMicros) - variance / 2;
         this.logDeviation = Math.sqrt(variance);
-        this.coldBudget = new ColdBudget(model, model.cores() / meanWorkMicros);
+        this.coldBudget = new ColdStart(model, model.cores() / meanWorkMicros);
     }
 
     Topology.Machine machine() {
@@ -53,7 +53,7 @@
     }
 
     /** Whether its machine says nothing, as one that is lost or cut off. */
-    boolean isSilent() {
+    boolean isMachineLost() {
         return silent;
     }
 
@@ -67,16 +67,16 @@
         return startedMicros;
     }
 
-    void setErrorPart(double part) {
+    void setErrorFraction(double part) {
         errorPart = part;
     }
 
-    void setSlowFactor(double factor) {
+    void setSlowdownFactor(double factor) {
         slowFactor = factor;
     }
 
     /** The machine falls silent and its process is gone; what it has in hand is never answered. */
-    void lose() {
+    void loseMachine() {
         silent = true;
         up = false;
         life++;
@@ -167,8 +167,8 @@
         runNext(nowMicros);
         int ofLife = life;
         int tries = world.experiment.calls().innerTries();
-        ModelSidecar sidecar = world.sidecars.get(machine.number());
-        Operation.begin(world, sidecar, nowMicros, attempt.deadlineMicros, tries, (now, succeeded) -> {
+        SimulatedSidecar sidecar = world.sidecars.get(machine.number());
+        FanOut.begin(world, sidecar, nowMicros, attempt.deadlineMicros, tries, (now, succeeded) -> {
             if (life == ofLife) {
                 letGo(attempt);
                 attempt.client.reply(now, attempt, succeeded ? Outcome.OK : Outcome.ERROR);
--- a/scale/src/main/java/gradehub/scale/model/Simulation.java
+++ b/scale/src/main/java/gradehub/scale/model/Simulation.java
@@ -39,7 +39,7 @@
     }
 
     private void start() {
-        for (ModelSidecar sidecar : world.sidecars) {
+        for (SimulatedSidecar sidecar : world.sidecars) {
             sidecar.start(0, world.listService.wholeList(sidecar.machine()));
         }
         RootClients.start(world);
--- a/scale/src/main/java/gradehub/scale/model/World.java
+++ b/scale/src/main/java/gradehub/scale/model/World.java
@@ -17,8 +17,8 @@
     final Network network;
     final Measurements measurements;
     final ListService listService;
-    final List<ModelUpstream> upstreams = new ArrayList<>();
-    final List<ModelSidecar> sidecars = new ArrayList<>();
+    final List<SimulatedUpstream> upstreams = new ArrayList<>();
+    final List<SimulatedSidecar> sidecars = new ArrayList<>();
     private final SplittableRandom random;
 
     World(Experiment experiment) {
@@ -29,8 +29,8 @@
         this.measurements = new Measurements(experiment, topology);
         this.listService = new ListService(this);
         for (Topology.Machine machine : topology.machines) {
-            upstreams.add(new ModelUpstream(this, machine));
-            sidecars.add(new ModelSidecar(this, machine));
+            upstreams.add(new SimulatedUpstream(this, machine));
+            sidecars.add(new SimulatedSidecar(this, machine));
         }
     }
 
@@ -49,8 +49,8 @@
 
     /** Whether messages get through between two machines: neither is silent, and no path is cut. */
     boolean reaches(Topology.Machine one, Topology.Machine other) {
-        return !upstreams.get(one.number()).isSilent()
-                && !upstreams.get(other.number()).isSilent()
+        return !upstreams.get(one.number()).isMachineLost()
+                && !upstreams.get(other.number()).isMachineLost()
                 && network.reaches(one, other);
     }
 
--- a/scale/src/test/java/gradehub/scale/model/StatePerMemberTest.java
+++ b/scale/src/test/java/gradehub/scale/model/BalancerMemoryTest.java
@@ -10,7 +10,7 @@
 import org.openjdk.jol.info.GraphLayout;
 
 /** The memory that a decision module holds for each upstream on its list: counted objects, not a measured heap. */
-class StatePerMemberTest {
+class BalancerMemoryTest {
 
     private static final int MOST_BYTES_OF_A_MEMBER = 700;
 
@@ -21,7 +21,7 @@
 
     /** All that a module reaches but its host's side, after it has been told a list of this length. */
     private static long stateBytes(int listed) {
-        Balancer balancer = new ListedModule(TestExperiments.small(), listed).balancer();
+        Balancer balancer = new NoOpBalancerHost(TestExperiments.small(), listed).balancer();
         return GraphLayout.parseInstance(balancer).totalSize();
     }
 
--- a/scale/src/test/java/gradehub/scale/model/ColdReturnTest.java
+++ b/scale/src/test/java/gradehub/scale/model/ColdReturnTest.java
@@ -34,7 +34,7 @@
 
     @Test
     void anUpstreamCanTakeItsBudgetWithSlackForChanceAndNoMore() {
-        ColdBudget budget = new ColdBudget(MODEL, 0.0001); // 100 a second when warm
+        ColdStart budget = new ColdStart(MODEL, 0.0001); // 100 a second when warm
         budget.start(1_000_000);
         assertTrue(budget.isCold(20_999_999));
         assertFalse(budget.isCold(21_000_000));
--- a/scale/src/test/java/gradehub/scale/model/ListServiceTest.java
+++ b/scale/src/test/java/gradehub/scale/model/ListServiceTest.java
@@ -55,7 +55,7 @@
         long wholeDay = totalBytes(world);
         assertEquals(changes, world.measurements.listChanges);
         long lines = 0;
-        for (ModelSidecar sidecar : world.sidecars) {
+        for (SimulatedSidecar sidecar : world.sidecars) {
             // A watch lasts to the end of the run, or until 15 s after its machine has fallen silent.
             lines += ListJson.LINE_OF_LIFE_BYTES * 5;
             assertTrue(sidecar.isRunning()
@@ -106,7 +106,7 @@
         assertTrue(result.figure("restored-last") <= TOLD_MILLIS, "last after " + result.figure("restored-last"));
         assertTrue(result.figure("told-last") <= TOLD_MILLIS, "told after " + result.figure("told-last"));
         assertTrue(result.figure("told-count") >= (scope == Scope.FLEET ? 745 : 1));
-        for (ModelSidecar sidecar : world.sidecars) {
+        for (SimulatedSidecar sidecar : world.sidecars) {
             boolean lives = sidecar.isRunning();
             assertTrue(!lives || sidecar.listClient().revision() == world.listService.revision());
         }
@@ -153,7 +153,9 @@
         assertEquals(2, world.measurements.listChanges);
         assertEquals(
                 1,
-                world.sidecars.stream().filter(sidecar -> sidecar.life() == 1).count());
+                world.sidecars.stream()
+                        .filter(sidecar -> sidecar.incarnation() == 1)
+                        .count());
         assertEquals(
                 1,
                 world.upstreams.stream()
--- a/scale/src/test/java/gradehub/scale/model/ListedModule.java
+++ b/scale/src/test/java/gradehub/scale/model/NoOpBalancerHost.java
@@ -10,12 +10,12 @@
 import java.util.List;
 
 /** A decision module with a list of this length, whose requests all fail to find an end. */
-final class ListedModule implements Balancer.Actions {
+final class NoOpBalancerHost implements Balancer.Actions {
 
     private final Balancer balancer;
 
-    ListedModule(Experiment experiment, int listed) {
-        Balancer.Settings settings = ModelSidecar.settings(experiment, 750);
+    NoOpBalancerHost(Experiment experiment, int listed) {
+        Balancer.Settings settings = SimulatedSidecar.settings(experiment, 750);
         this.balancer = new LoadShiftingBalancer(settings, 1, this);
         balancer.start(0);
         List<Upstream> entries = new ArrayList<>();
--- a/scale/src/test/java/gradehub/scale/model/SimulationTest.java
+++ b/scale/src/test/java/gradehub/scale/model/SimulationTest.java
@@ -115,7 +115,8 @@
         new Simulation(world).run((seconds, calls) -> true);
         Measurements counted = world.measurements;
         assertEquals(0, counted.lateAnswers);
-        long restarts = world.sidecars.stream().mapToInt(ModelSidecar::life).sum();
+        long restarts =
+                world.sidecars.stream().mapToInt(SimulatedSidecar::incarnation).sum();
         long outAtTheEnd = counted.rootOffered - counted.rootServed - counted.rootFailed;
         double mostOut = 150 * 2.1 + restarts * 30;
         assertTrue(outAtTheEnd >= 0 && outAtTheEnd <= mostOut, outAtTheEnd + " of " + counted.rootOffered);
