--- a/scale/src/main/java/gradehub/scale/ProgressLog.java
+++ b/scale/src/main/java/gradehub/scale/ProgressLog.java
@@ -9,7 +9,7 @@
 import org.slf4j.spi.LoggingEventBuilder;
 
 /** Logs the beginning, the progress and the end of one run, and ends it when it is interrupted. */
-final class ProgressLog implements Simulation.Progress {
+final class ProgressLog implements Simulation.ProgressListener {
 
     private static final Logger LOG = LoggerFactory.getLogger(ProgressLog.class);
     private static final long PERIOD_NANOS = 5_000_000_000L;
@@ -26,7 +26,7 @@
     }
 
     @Override
-    public boolean goOn(double simulatedSeconds, long calls) {
+    public boolean onProgress(double simulatedSeconds, long calls) {
         long nowNanos = System.nanoTime();
         if (nowNanos - loggedNanos >= PERIOD_NANOS) {
             loggedNanos = nowNanos;
--- a/scale/src/main/java/gradehub/scale/SlopesCommand.java
+++ b/scale/src/main/java/gradehub/scale/SlopesCommand.java
@@ -25,7 +25,7 @@
 
     @Override
     public Integer call() throws Exception {
-        List<Slopes.Slope> slopes = new ArrayList<>();
+        List<Slopes.LinearFit> slopes = new ArrayList<>();
         for (Path summary : summaries) {
             slopes.addAll(Slopes.read(summary));
         }
--- a/scale/src/main/java/gradehub/scale/model/ApplicationCall.java
+++ b/scale/src/main/java/gradehub/scale/model/ApplicationCall.java
@@ -10,14 +10,15 @@
         FAILED
     }
 
-    private final World world;
+    private final SimulationContext context;
     private final Operation operation;
     private final ServiceClient client;
     private final long deadlineMicros;
     private int triesLeft;
 
-    ApplicationCall(World world, Operation operation, ServiceClient client, long deadlineMicros, int tries) {
-        this.world = world;
+    ApplicationCall(
+            SimulationContext context, Operation operation, ServiceClient client, long deadlineMicros, int tries) {
+        this.context = context;
         this.operation = operation;
         this.client = client;
         this.deadlineMicros = deadlineMicros;
@@ -39,19 +40,19 @@
 
     /** Calls are safe to repeat: the application tries again after any failure, as long as there is time. */
     void answered(long nowMicros, Answer answer) {
-        long pauseMicros = world.experiment.calls().retryPauseMillis() * World.MICROS_PER_MILLI;
+        long pauseMicros = context.experiment.calls().retryPauseMillis() * SimulationContext.MICROS_PER_MILLI;
         boolean again = answer != Answer.SERVED && triesLeft > 0 && nowMicros + pauseMicros < deadlineMicros;
         if (!again) {
             operation.callEnded(nowMicros, answer == Answer.SERVED);
         } else if (operation.isLive()) {
             triesLeft--;
-            world.queue.at(nowMicros + pauseMicros, this::repeat);
+            context.queue.at(nowMicros + pauseMicros, this::repeat);
         }
     }
 
     private void repeat(long nowMicros) {
         if (operation.isLive()) {
-            world.measurements.repeated(nowMicros);
+            context.measurements.callRetried(nowMicros);
             client.request(nowMicros, this, deadlineMicros, true);
         }
     }
--- a/scale/src/main/java/gradehub/scale/model/ColdBudget.java
+++ b/scale/src/main/java/gradehub/scale/model/ColdBudget.java
@@ -24,8 +24,8 @@
     ColdBudget(UpstreamModel model, double warmRequestsPerMicro) {
         this.model = model;
         this.warmRequestsPerMicro = warmRequestsPerMicro;
-        this.coldMicros = model.coldMillis() * World.MICROS_PER_MILLI;
-        this.spanMicros = model.overloadMillis() * World.MICROS_PER_MILLI;
+        this.coldMicros = model.coldMillis() * SimulationContext.MICROS_PER_MILLI;
+        this.spanMicros = model.overloadMillis() * SimulationContext.MICROS_PER_MILLI;
     }
 
     /** A process starts, cold. */
--- a/scale/src/main/java/gradehub/scale/model/FaultSchedule.java
+++ b/scale/src/main/java/gradehub/scale/model/FaultSchedule.java
@@ -11,20 +11,20 @@
 final class FaultSchedule {
 
     /** A machine that is to be restarted is listed as leaving for so long before its process ends. */
-    private static final long DRAIN_MICROS = World.MICROS_PER_SECOND;
+    private static final long DRAIN_MICROS = SimulationContext.MICROS_PER_SECOND;
 
-    private final World world;
+    private final SimulationContext context;
     private final Random random;
 
-    FaultSchedule(World world) {
-        this.world = world;
-        this.random = new Random(world.newRandom().nextLong());
+    FaultSchedule(SimulationContext context) {
+        this.context = context;
+        this.random = new Random(context.newRandom().nextLong());
     }
 
     /** Schedules a fault. */
     void add(Fault fault) {
-        long from = World.micros(fault.atSeconds());
-        long until = World.micros(fault.atSeconds() + fault.forSeconds());
+        long from = SimulationContext.toMicros(fault.atSeconds());
+        long until = SimulationContext.toMicros(fault.atSeconds() + fault.forSeconds());
         if (fault instanceof Fault.UpstreamsFail fail) {
             onPart(from, until, fail.layer(), fail.part(), ModelUpstream::setErrorPart, fail.errorPart(), 0);
         } else if (fault instanceof Fault.UpstreamsSlow slow) {
@@ -36,12 +36,12 @@
         } else if (fault instanceof Fault.ZoneLost lost) {
             lose(from, until, inZone(lost.zone()));
         } else if (fault instanceof Fault.RegionParted parted) {
-            int region = world.topology.regions.indexOf(parted.region());
-            world.queue.at(from, now -> world.network.part(region));
-            world.queue.at(until, now -> world.network.join(now, region));
+            int region = context.topology.regions.indexOf(parted.region());
+            context.queue.at(from, now -> context.network.isolateRegion(region));
+            context.queue.at(until, now -> context.network.reconnectRegion(now, region));
         } else if (fault instanceof Fault.ListServiceDown) {
-            world.queue.at(from, world.listService::goDown);
-            world.queue.at(until, world.listService::comeBack);
+            context.queue.at(from, context.listService::goDown);
+            context.queue.at(until, context.listService::comeBack);
         } else if (fault instanceof Fault.ConfigurationChange) {
             configure(from, until - from);
         }
@@ -56,39 +56,39 @@
             ObjDoubleConsumer<ModelUpstream> setting,
             double faulty,
             double sound) {
-        for (Topology.Service service : world.topology.layer(layer)) {
+        for (Topology.Service service : context.topology.servicesInLayer(layer)) {
             List<Topology.Machine> machines = new ArrayList<>(service.machines());
             Collections.shuffle(machines, random);
             int count = (int) Math.floor(part * machines.size() + random.nextDouble());
             for (Topology.Machine machine : machines.subList(0, Math.min(count, machines.size()))) {
-                ModelUpstream upstream = world.upstreams.get(machine.number());
-                world.queue.at(from, now -> setting.accept(upstream, faulty));
-                world.queue.at(until, now -> setting.accept(upstream, sound));
+                ModelUpstream upstream = context.upstreams.get(machine.number());
+                context.queue.at(from, now -> setting.accept(upstream, faulty));
+                context.queue.at(until, now -> setting.accept(upstream, sound));
             }
         }
     }
 
     private List<Topology.Machine> drawn(int count) {
-        List<Topology.Machine> machines = new ArrayList<>(world.topology.machines);
+        List<Topology.Machine> machines = new ArrayList<>(context.topology.machines);
         Collections.shuffle(machines, random);
         return machines.subList(0, Math.min(count, machines.size()));
     }
 
     private List<Topology.Machine> inZone(String name) {
-        return world.topology.machines.stream()
+        return context.topology.machines.stream()
                 .filter(machine ->
-                        world.topology.zones.get(machine.zone()).name().equals(name))
+                        context.topology.zones.get(machine.zone()).name().equals(name))
                 .toList();
     }
 
     private void lose(long from, long until, List<Topology.Machine> machines) {
         for (Topology.Machine machine : machines) {
-            world.queue.at(from, now -> {
-                world.upstreams.get(machine.number()).lose();
-                world.sidecars.get(machine.number()).stop(now);
-                world.listService.noticeLoss(now, machine);
+            context.queue.at(from, now -> {
+                context.upstreams.get(machine.number()).lose();
+                context.sidecars.get(machine.number()).stop(now);
+                context.listService.noticeLoss(now, machine);
             });
-            world.queue.at(until, now -> startAgain(now, machine));
+            context.queue.at(until, now -> startAgain(now, machine));
         }
     }
 
@@ -96,32 +96,33 @@
         List<Topology.Machine> machines = drawn(restarts.count());
         for (int i = 0; i < machines.size(); i++) {
             Topology.Machine machine = machines.get(i);
-            ModelUpstream upstream = world.upstreams.get(machine.number());
+            ModelUpstream upstream = context.upstreams.get(machine.number());
             long leaves = from + spreadMicros * i / machines.size();
             long ends = leaves + DRAIN_MICROS;
-            world.queue.at(
+            context.queue.at(
                     leaves,
-                    now -> world.listService.change(now, machine, ListEntry.Phase.LEAVING, upstream.startedMicros()));
-            world.queue.at(ends, now -> {
+                    now -> context.listService.change(now, machine, ListEntry.Phase.LEAVING, upstream.startedMicros()));
+            context.queue.at(ends, now -> {
                 upstream.kill(now);
-                world.sidecars.get(machine.number()).stop(now);
+                context.sidecars.get(machine.number()).stop(now);
             });
-            world.queue.at(ends + World.micros(restarts.downSeconds()), now -> startAgain(now, machine));
+            context.queue.at(
+                    ends + SimulationContext.toMicros(restarts.downSeconds()), now -> startAgain(now, machine));
         }
     }
 
     private void startAgain(long nowMicros, Topology.Machine machine) {
-        world.upstreams.get(machine.number()).start(nowMicros);
-        world.listService.change(nowMicros, machine, ListEntry.Phase.ACTIVE, nowMicros);
-        ModelSidecar sidecar = world.sidecars.get(machine.number());
-        sidecar.start(nowMicros, world.listService.wholeList(machine));
+        context.upstreams.get(machine.number()).start(nowMicros);
+        context.listService.change(nowMicros, machine, ListEntry.Phase.ACTIVE, nowMicros);
+        ModelSidecar sidecar = context.sidecars.get(machine.number());
+        sidecar.start(nowMicros, context.listService.wholeList(machine));
     }
 
     private void configure(long from, long spreadMicros) {
-        List<ModelSidecar> sidecars = world.sidecars;
+        List<ModelSidecar> sidecars = context.sidecars;
         for (int i = 0; i < sidecars.size(); i++) {
             ModelSidecar sidecar = sidecars.get(i);
-            world.queue.at(
+            context.queue.at(
                     from + spreadMicros * i / sidecars.size(),
                     now -> sidecar.listClient().moveTo(now));
         }
--- a/scale/src/main/java/gradehub/scale/model/Figures.java
+++ b/scale/src/main/java/gradehub/scale/model/Figures.java
@@ -14,20 +14,20 @@
 
     private static final double MICROS = 1e6;
 
-    private final World world;
-    private final Measurements counted;
+    private final SimulationContext context;
+    private final Measurements measurements;
     private final double seconds;
     private final List<RunResult.Figure> figures = new ArrayList<>();
 
-    private Figures(World world) {
-        this.world = world;
-        this.counted = world.measurements;
-        double passed = world.queue.nowMicros() / MICROS - world.experiment.warmupSeconds();
+    private Figures(SimulationContext context) {
+        this.context = context;
+        this.measurements = context.measurements;
+        double passed = context.queue.nowMicros() / MICROS - context.experiment.warmupSeconds();
         this.seconds = Math.max(1 / MICROS, passed);
     }
 
-    static RunResult of(World world, boolean complete) {
-        Figures figures = new Figures(world);
+    static RunResult compute(SimulationContext context, boolean complete) {
+        Figures figures = new Figures(context);
         figures.calls();
         figures.attempts();
         figures.distances();
@@ -36,9 +36,9 @@
         figures.listService();
         figures.cold();
         return new RunResult(
-                world.experiment.name(),
-                world.topology.machines.size(),
-                world.experiment.seed(),
+                context.experiment.name(),
+                context.topology.machines.size(),
+                context.experiment.seed(),
                 complete,
                 figures.figures,
                 figures.secondRows(),
@@ -51,46 +51,57 @@
 
     private void calls() {
         add("measured-time", seconds, "s");
-        add("services", world.topology.services.size(), "1");
-        add("calls", sum(counted.callsByLayer) / seconds, "1/s");
-        add("root-calls", counted.rootOffered / seconds, "1/s");
-        add("root-served-part", ratio(counted.rootServed, counted.rootServed + counted.rootFailed), "1");
-        add("root-latency-p50", counted.rootLatency.getValueAtPercentile(50) / 1000.0, "ms");
-        add("root-latency-p99", counted.rootLatency.getValueAtPercentile(99) / 1000.0, "ms");
-        add("root-latency-p99.9", counted.rootLatency.getValueAtPercentile(99.9) / 1000.0, "ms");
-        add("repeated-tries", counted.repeats / seconds, "1/s");
-        add("answers-after-deadline", counted.lateAnswers, "1");
+        add("services", context.topology.services.size(), "1");
+        add("calls", sum(measurements.callsByLayer) / seconds, "1/s");
+        add("root-calls", measurements.rootOffered / seconds, "1/s");
+        add("root-served-part", ratio(measurements.rootServed, measurements.rootServed + measurements.rootFailed), "1");
+        add("root-latency-p50", measurements.rootLatency.getValueAtPercentile(50) / 1000.0, "ms");
+        add("root-latency-p99", measurements.rootLatency.getValueAtPercentile(99) / 1000.0, "ms");
+        add("root-latency-p99.9", measurements.rootLatency.getValueAtPercentile(99.9) / 1000.0, "ms");
+        add("repeated-tries", measurements.retries / seconds, "1/s");
+        add("answers-after-deadline", measurements.lateAnswers, "1");
         for (ApplicationCall.Answer answer : ApplicationCall.Answer.values()) {
             String name = answer.name().toLowerCase(Locale.ROOT);
-            add("sidecar-answers-" + name, ratio(counted.answers[answer.ordinal()], sum(counted.answers)), "1");
+            add(
+                    "sidecar-answers-" + name,
+                    ratio(measurements.answers[answer.ordinal()], sum(measurements.answers)),
+                    "1");
         }
-        add("sidecar-answers-unsent", ratio(counted.unsent, sum(counted.answers)), "1");
+        add("sidecar-answers-unsent", ratio(measurements.answersWithoutAttempt, sum(measurements.answers)), "1");
     }
 
     private void attempts() {
-        int hops = counted.arrivedByLayer.length - 1;
-        double callsPerRequest = world.experiment.calls().callsPerRequest();
-        add("attempts", sum(counted.sentByLayer) / seconds, "1/s");
-        add("attempts-per-call", ratio(sum(counted.sentByLayer), sum(counted.callsByLayer)), "1");
-        double plannedLeaves = counted.rootOffered * Math.pow(callsPerRequest, hops);
-        add("leaf-attempts-per-planned", counted.arrivedByLayer[hops] / Math.max(1, plannedLeaves), "1");
+        int hops = measurements.attemptsArrivedByLayer.length - 1;
+        double callsPerRequest = context.experiment.calls().callsPerRequest();
+        add("attempts", sum(measurements.attemptsSentByLayer) / seconds, "1/s");
+        add("attempts-per-call", ratio(sum(measurements.attemptsSentByLayer), sum(measurements.callsByLayer)), "1");
+        double plannedLeaves = measurements.rootOffered * Math.pow(callsPerRequest, hops);
+        add("leaf-attempts-per-planned", measurements.attemptsArrivedByLayer[hops] / Math.max(1, plannedLeaves), "1");
         double plannedPerSecond = plannedLeaves / seconds;
         add("leaf-attempts-most-in-a-second", ratio(most(row -> row.leafAttempts), plannedPerSecond), "1");
         for (int layer = 1; layer <= hops; layer++) {
-            double planned = counted.rootOffered * Math.pow(callsPerRequest, layer);
-            add("attempts-per-planned-layer-" + layer, counted.sentByLayer[layer] / Math.max(1, planned), "1");
+            double planned = measurements.rootOffered * Math.pow(callsPerRequest, layer);
+            add(
+                    "attempts-per-planned-layer-" + layer,
+                    measurements.attemptsSentByLayer[layer] / Math.max(1, planned),
+                    "1");
         }
         for (Outcome outcome : Outcome.values()) {
             String name = outcome.name().toLowerCase(Locale.ROOT).replace('_', '-');
-            add("outcome-" + name, ratio(counted.outcomes[outcome.ordinal()], sum(counted.outcomes)), "1");
+            add("outcome-" + name, ratio(measurements.outcomes[outcome.ordinal()], sum(measurements.outcomes)), "1");
         }
-        add("module-log-lines", counted.logLines, "1");
+        add("module-log-lines", measurements.moduleLogLines, "1");
     }
 
     private void distances() {
         for (Network.Distance distance : Network.Distance.values()) {
             String name = distance.name().toLowerCase(Locale.ROOT).replace('_', '-');
-            add("sent-" + name, ratio(counted.sentByDistance[distance.ordinal()], sum(counted.sentByDistance)), "1");
+            add(
+                    "sent-" + name,
+                    ratio(
+                            measurements.attemptsSentByDistance[distance.ordinal()],
+                            sum(measurements.attemptsSentByDistance)),
+                    "1");
         }
     }
 
@@ -101,7 +112,7 @@
         int smallest = 1;
         for (int i = 0; i < largest.length; i++) {
             DoubleSummaryStatistics ofSize = new DoubleSummaryStatistics();
-            for (Topology.Service service : world.topology.services) {
+            for (Topology.Service service : context.topology.services) {
                 int size = service.machines().size();
                 if (service.layer() > 0 && size >= smallest && size <= largest[i]) {
                     ofSize.accept(spread(service));
@@ -115,39 +126,42 @@
 
     /** What an upstream of a zone is sent over what one of the same service is sent in the mean. */
     private void zones() {
-        double[] loads = new double[world.topology.zones.size()];
+        double[] loads = new double[context.topology.zones.size()];
         int[] machines = new int[loads.length];
-        for (Topology.Service service : world.topology.services) {
+        for (Topology.Service service : context.topology.services) {
             double mean = arrived(service) / service.machines().size();
             if (service.layer() > 0 && mean > 0) {
                 for (Topology.Machine machine : service.machines()) {
-                    loads[machine.zone()] += counted.arrivedByMachine[machine.number()] / mean;
+                    loads[machine.zone()] += measurements.attemptsArrivedByMachine[machine.number()] / mean;
                     machines[machine.zone()]++;
                 }
             }
         }
-        for (Topology.Zone zone : world.topology.zones) {
+        for (Topology.Zone zone : context.topology.zones) {
             add("zone-load-" + zone.name(), ratio(loads[zone.number()], machines[zone.number()]), "1");
         }
     }
 
     private void listService() {
-        int sidecars = world.sidecars.size();
-        add("list-calls", counted.listCalls / seconds, "1/s");
-        add("list-calls-failed", counted.listCallsFailed / seconds, "1/s");
+        int sidecars = context.sidecars.size();
+        add("list-calls", measurements.listCalls / seconds, "1/s");
+        add("list-calls-failed", measurements.listCallsFailed / seconds, "1/s");
         add("list-calls-most-in-a-second", most(row -> row.listCalls), "1/s");
-        add("list-bytes-in", counted.listBytesIn / seconds, "B/s");
-        add("list-bytes-out", counted.listBytesOut / seconds, "B/s");
+        add("list-bytes-in", measurements.listBytesIn / seconds, "B/s");
+        add("list-bytes-out", measurements.listBytesOut / seconds, "B/s");
         add("list-bytes-out-most-in-a-second", most(row -> row.listBytesOut), "B/s");
-        add("list-bytes-per-sidecar", (counted.listBytesIn + counted.listBytesOut) / seconds / sidecars, "B/s");
-        add("list-changes", counted.listChanges / seconds, "1/s");
-        add("list-whole-lists", counted.listWholeLists / seconds, "1/s");
-        add("list-busy-part", counted.listBusyMicros / MICROS / seconds, "1");
-        add("list-longest-backlog", counted.listLongestBacklogMicros / 1000.0, "ms");
-        delays("told", counted.told);
-        delays("restored", counted.restored);
-        delays("configured", counted.configured);
-        long current = world.sidecars.stream()
+        add(
+                "list-bytes-per-sidecar",
+                (measurements.listBytesIn + measurements.listBytesOut) / seconds / sidecars,
+                "B/s");
+        add("list-changes", measurements.listChanges / seconds, "1/s");
+        add("list-whole-lists", measurements.listWholeLists / seconds, "1/s");
+        add("list-busy-part", measurements.listBusyMicros / MICROS / seconds, "1");
+        add("list-longest-backlog", measurements.listLongestBacklogMicros / 1000.0, "ms");
+        delays("told", measurements.changeDelays);
+        delays("restored", measurements.restoreDelays);
+        delays("configured", measurements.moveDelays);
+        long current = context.sidecars.stream()
                 .filter(sidecar -> sidecar.isRunning() && sidecar.listClient().isCurrent())
                 .count();
         add("sidecars-with-watch-at-end", current, "1");
@@ -160,15 +174,15 @@
     }
 
     private void cold() {
-        add("cold-load-most", counted.coldLoadMost, "1");
-        add("cold-attempts", counted.coldAttempts, "1");
-        add("cold-falls", counted.coldFalls, "1");
+        add("cold-load-most", measurements.maxColdLoad, "1");
+        add("cold-attempts", measurements.coldAttempts, "1");
+        add("cold-falls", measurements.coldFailures, "1");
     }
 
     private List<RunResult.Second> secondRows() {
         List<RunResult.Second> rows = new ArrayList<>();
-        for (int i = 0; i < counted.seconds.length - 1; i++) {
-            Measurements.SecondRow row = counted.seconds[i];
+        for (int i = 0; i < measurements.seconds.length - 1; i++) {
+            Measurements.SecondRow row = measurements.seconds[i];
             rows.add(new RunResult.Second(
                     i,
                     row.rootOffered,
@@ -187,12 +201,17 @@
 
     private List<RunResult.ServiceLoad> serviceRows() {
         List<RunResult.ServiceLoad> rows = new ArrayList<>();
-        for (Topology.Service service : world.topology.services) {
+        for (Topology.Service service : context.topology.services) {
             if (service.layer() > 0) {
                 int upstreams = service.machines().size();
                 double perUpstream = arrived(service) / seconds / upstreams;
                 rows.add(new RunResult.ServiceLoad(
-                        service.number(), service.layer(), upstreams, service.callers(), perUpstream, spread(service)));
+                        service.number(),
+                        service.layer(),
+                        upstreams,
+                        service.callerCount(),
+                        perUpstream,
+                        spread(service)));
             }
         }
         return rows;
@@ -201,7 +220,7 @@
     private double arrived(Topology.Service service) {
         double sum = 0;
         for (Topology.Machine machine : service.machines()) {
-            sum += counted.arrivedByMachine[machine.number()];
+            sum += measurements.attemptsArrivedByMachine[machine.number()];
         }
         return sum;
     }
@@ -210,7 +229,7 @@
     private double spread(Topology.Service service) {
         double most = 0;
         for (Topology.Machine machine : service.machines()) {
-            most = Math.max(most, counted.arrivedByMachine[machine.number()]);
+            most = Math.max(most, measurements.attemptsArrivedByMachine[machine.number()]);
         }
         double mean = arrived(service) / service.machines().size();
         return mean == 0 ? 0 : most / mean;
@@ -218,8 +237,8 @@
 
     private double most(ToLongFunction<Measurements.SecondRow> figure) {
         long most = 0;
-        for (int i = (int) world.experiment.warmupSeconds(); i < counted.seconds.length; i++) {
-            most = Math.max(most, figure.applyAsLong(counted.seconds[i]));
+        for (int i = (int) context.experiment.warmupSeconds(); i < measurements.seconds.length; i++) {
+            most = Math.max(most, figure.applyAsLong(measurements.seconds[i]));
         }
         return most;
     }
--- a/scale/src/main/java/gradehub/scale/model/ListClient.java
+++ b/scale/src/main/java/gradehub/scale/model/ListClient.java
@@ -6,10 +6,11 @@
 /** A sidecar's client of the list service. It behaves as the network code's, with the same times. */
 final class ListClient {
 
-    private static final long SILENCE_MICROS = Math.round(DiscoveryTimeouts.IDLE_TIMEOUT_MS * World.MICROS_PER_MILLI);
+    private static final long SILENCE_MICROS =
+            Math.round(DiscoveryTimeouts.IDLE_TIMEOUT_MS * SimulationContext.MICROS_PER_MILLI);
     private static final double CONNECT_MILLIS = DiscoveryTimeouts.CONNECT_TIMEOUT_MS;
 
-    private final World world;
+    private final SimulationContext context;
     private final ModelSidecar sidecar;
     private Watch watch;
     private int revision = -1;
@@ -20,8 +21,8 @@
     /** When the sidecar was told of another list service from which it has no list yet, or -1. */
     private long movedMicros = -1;
 
-    ListClient(World world, ModelSidecar sidecar) {
-        this.world = world;
+    ListClient(SimulationContext context, ModelSidecar sidecar) {
+        this.context = context;
         this.sidecar = sidecar;
     }
 
@@ -38,7 +39,7 @@
     /** The process starts, with the list that it last had. */
     void start(long nowMicros) {
         startedMicros = nowMicros;
-        revision = world.listService.revision();
+        revision = context.listService.revision();
         lost = false;
         movedMicros = -1;
     }
@@ -53,13 +54,14 @@
         Watch opened = new Watch(this, sidecar.machine(), revision);
         watch = opened;
         heardMicros = nowMicros;
-        if (world.listService.reaches(sidecar.machine())) {
-            long roundTripAndCall = 3 * world.network.listServiceDelayMicros(sidecar.machine());
-            world.queue.at(nowMicros + roundTripAndCall, now -> world.listService.call(now, opened));
-            world.queue.at(nowMicros + SILENCE_MICROS, now -> checkSilence(now, opened));
+        if (context.listService.reaches(sidecar.machine())) {
+            long roundTripAndCall = 3 * context.network.listServiceDelayMicros(sidecar.machine());
+            context.queue.at(nowMicros + roundTripAndCall, now -> context.listService.call(now, opened));
+            context.queue.at(nowMicros + SILENCE_MICROS, now -> checkSilence(now, opened));
         } else {
-            double millis = Math.min(CONNECT_MILLIS, world.network.model().connectTimeoutMillis());
-            world.queue.at(nowMicros + Math.round(millis * World.MICROS_PER_MILLI), now -> ended(now, opened));
+            double millis = Math.min(CONNECT_MILLIS, context.network.model().connectTimeoutMillis());
+            context.queue.at(
+                    nowMicros + Math.round(millis * SimulationContext.MICROS_PER_MILLI), now -> ended(now, opened));
         }
     }
 
@@ -96,13 +98,13 @@
     }
 
     private void measure(long nowMicros, ListUpdate update) {
-        long reachableMicros = Math.max(startedMicros, world.listService.reachableSinceMicros(sidecar.machine()));
+        long reachableMicros = Math.max(startedMicros, context.listService.reachableSinceMicros(sidecar.machine()));
         if (lost) {
             lost = false;
-            world.measurements.listRestored(nowMicros, nowMicros - reachableMicros);
+            context.measurements.watchRestored(nowMicros, nowMicros - reachableMicros);
         }
         if (movedMicros >= 0) {
-            world.measurements.configured(nowMicros, nowMicros - movedMicros);
+            context.measurements.listServiceMoved(nowMicros, nowMicros - movedMicros);
             movedMicros = -1;
         }
         long oldest = Long.MAX_VALUE;
@@ -112,7 +114,7 @@
             }
         }
         if (oldest < Long.MAX_VALUE) {
-            world.measurements.told(nowMicros, nowMicros - Math.max(oldest, reachableMicros));
+            context.measurements.listChangeReceived(nowMicros, nowMicros - Math.max(oldest, reachableMicros));
         }
     }
 
@@ -123,14 +125,14 @@
         if (nowMicros - heardMicros >= SILENCE_MICROS) {
             ended(nowMicros, which);
         } else {
-            world.queue.at(heardMicros + SILENCE_MICROS, now -> checkSilence(now, which));
+            context.queue.at(heardMicros + SILENCE_MICROS, now -> checkSilence(now, which));
         }
     }
 
     private void close(long nowMicros) {
         if (watch != null) {
             watch.wanted = false;
-            world.listService.closedBySidecar(nowMicros, watch);
+            context.listService.closedBySidecar(nowMicros, watch);
             watch = null;
         }
     }
--- a/scale/src/main/java/gradehub/scale/model/ListEntry.java
+++ b/scale/src/main/java/gradehub/scale/model/ListEntry.java
@@ -37,7 +37,7 @@
     /** An entry; {@code startedMicros} is negative for a machine that started before the run. */
     static ListEntry of(
             Topology.Machine machine, String zone, Phase phase, long startedMicros, int revision, long changedMicros) {
-        double startedMillis = startedMicros < 0 ? 0 : Math.max(1, World.millis(startedMicros));
+        double startedMillis = startedMicros < 0 ? 0 : Math.max(1, SimulationContext.toMillis(startedMicros));
         Balancer.Upstream upstream = new Balancer.Upstream(
                 machine.number(), phase.status, startedMillis, machine.zone(), 0, machine.service(), 1);
         int bytes = ListJson.member(machine, zone, phase, startedMicros).length;
--- a/scale/src/main/java/gradehub/scale/model/ListJson.java
+++ b/scale/src/main/java/gradehub/scale/model/ListJson.java
@@ -37,7 +37,7 @@
 
     /** An entry in its JSON form. */
     static byte[] member(Topology.Machine machine, String zone, ListEntry.Phase phase, long startedMicros) {
-        long upSince = startedMicros < 0 ? 0 : RUN_STARTS_MS + startedMicros / World.MICROS_PER_MILLI;
+        long upSince = startedMicros < 0 ? 0 : RUN_STARTS_MS + startedMicros / SimulationContext.MICROS_PER_MILLI;
         String id = String.format("s-%08x", machine.number() * 0x9E3779B1);
         String address = "10." + machine.zone() + "." + machine.number() / 256 + "." + machine.number() % 256;
         return json(new Member(id, address + ":8000", zone, "m2", machine.service(), phase.word, 1.0, upSince));
--- a/scale/src/main/java/gradehub/scale/model/ListService.java
+++ b/scale/src/main/java/gradehub/scale/model/ListService.java
@@ -14,11 +14,11 @@
  */
 final class ListService {
 
-    private static final long LINE_MICROS = 2 * World.MICROS_PER_SECOND;
+    private static final long LINE_MICROS = 2 * SimulationContext.MICROS_PER_SECOND;
     /** After that a connection to a machine that says nothing is given up. */
-    private static final long HALF_OPEN_MICROS = 15 * World.MICROS_PER_SECOND;
+    private static final long HALF_OPEN_MICROS = 15 * SimulationContext.MICROS_PER_SECOND;
 
-    private final World world;
+    private final SimulationContext context;
     private final ListServiceModel model;
     private final ListEntry[] entries;
     private final List<List<Topology.Machine>> scopes = new ArrayList<>();
@@ -32,22 +32,22 @@
     private long busyUntilMicros;
     private boolean pushDue;
 
-    ListService(World world) {
-        this.world = world;
-        this.model = world.experiment.listService();
-        this.entries = new ListEntry[world.topology.machines.size()];
-        for (Topology.Machine machine : world.topology.machines) {
+    ListService(SimulationContext context) {
+        this.context = context;
+        this.model = context.experiment.listService();
+        this.entries = new ListEntry[context.topology.machines.size()];
+        for (Topology.Machine machine : context.topology.machines) {
             entries[machine.number()] = newEntry(machine, ListEntry.Phase.ACTIVE, -1, 0);
         }
-        for (Topology.Service service : world.topology.services) {
-            scopes.add(model.scope() == Scope.FLEET ? world.topology.machines : machinesOf(service.called()));
+        for (Topology.Service service : context.topology.services) {
+            scopes.add(model.scope() == Scope.FLEET ? context.topology.machines : machinesOf(service.callees()));
         }
     }
 
     private List<Topology.Machine> machinesOf(List<Integer> services) {
         List<Topology.Machine> machines = new ArrayList<>();
-        services.forEach(
-                service -> machines.addAll(world.topology.services.get(service).machines()));
+        services.forEach(service ->
+                machines.addAll(context.topology.services.get(service).machines()));
         return machines;
     }
 
@@ -56,12 +56,12 @@
     }
 
     boolean reaches(Topology.Machine machine) {
-        return !world.upstreams.get(machine.number()).isSilent() && world.network.reachesListService(machine);
+        return !context.upstreams.get(machine.number()).isSilent() && context.network.isListServiceReachable(machine);
     }
 
     /** Since when it is up and the path from this machine is whole. */
     long reachableSinceMicros(Topology.Machine machine) {
-        return Math.max(upSinceMicros, world.network.listServiceJoinedMicros(machine));
+        return Math.max(upSinceMicros, context.network.listServiceReconnectedMicros(machine));
     }
 
     /** The list of this machine's sidecar as it stands now, without those that have left. */
@@ -86,17 +86,17 @@
         }
         revision++;
         entries[machine.number()] = newEntry(machine, phase, startedMicros, nowMicros);
-        world.measurements.changed(nowMicros);
+        context.measurements.listEntryChanged(nowMicros);
         if (!pushDue) {
             pushDue = true;
-            world.queue.at(nowMicros + model.pushPeriodMillis() * World.MICROS_PER_MILLI, this::push);
+            context.queue.at(nowMicros + model.pushPeriodMillis() * SimulationContext.MICROS_PER_MILLI, this::push);
         }
     }
 
     /** A machine has been lost; that shows in the list after a while, unless it has started anew by then. */
     void noticeLoss(long nowMicros, Topology.Machine machine) {
-        world.queue.at(nowMicros + model.noticeMillis() * World.MICROS_PER_MILLI, now -> {
-            if (!world.upstreams.get(machine.number()).isUp()) {
+        context.queue.at(nowMicros + model.noticeMillis() * SimulationContext.MICROS_PER_MILLI, now -> {
+            if (!context.upstreams.get(machine.number()).isUp()) {
                 change(now, machine, ListEntry.Phase.LEFT, entries[machine.number()].startedMicros());
             }
         });
@@ -104,7 +104,7 @@
 
     private ListEntry newEntry(
             Topology.Machine machine, ListEntry.Phase phase, long startedMicros, long changedMicros) {
-        String zone = world.topology.zones.get(machine.zone()).name();
+        String zone = context.topology.zones.get(machine.zone()).name();
         return ListEntry.of(machine, zone, phase, startedMicros, revision, changedMicros);
     }
 
@@ -140,9 +140,9 @@
             tellEnded(nowMicros, watch);
             return;
         }
-        world.measurements.listCall(nowMicros, ListJson.callBytes(watch.revision));
+        context.measurements.listCallReceived(nowMicros, ListJson.callBytes(watch.revision));
         long waitMicros = Math.max(0, busyUntilMicros - nowMicros);
-        long timeoutMicros = model.timeoutMillis() * World.MICROS_PER_MILLI;
+        long timeoutMicros = model.timeoutMillis() * SimulationContext.MICROS_PER_MILLI;
         if (callers.size() >= model.maxCallers()) {
             fail(nowMicros, watch);
         } else if (waitMicros > timeoutMicros) {
@@ -159,7 +159,7 @@
     /** Holds the server for a while once it is free, and tells when that ends. */
     private long serve(long nowMicros, long costMicros) {
         busyUntilMicros = Math.max(busyUntilMicros, nowMicros) + costMicros;
-        world.measurements.listServiceBusy(nowMicros, costMicros, busyUntilMicros - nowMicros);
+        context.measurements.listServiceBusy(nowMicros, costMicros, busyUntilMicros - nowMicros);
         return busyUntilMicros;
     }
 
@@ -181,20 +181,20 @@
 
     private void fail(long nowMicros, Watch watch) {
         callers.remove(watch);
-        world.measurements.listCallFailed(nowMicros, ListJson.FAILURE_BYTES);
+        context.measurements.listCallFailed(nowMicros, ListJson.FAILURE_BYTES);
         tellEnded(nowMicros, watch);
     }
 
     private void write(long nowMicros, Watch watch, ListUpdate update, int headBytes) {
         watch.revision = update.revision();
         int bytes = headBytes + ListJson.messageBytes(update.revision(), update.complete(), update.entries());
-        world.measurements.listWritten(nowMicros, bytes, update.complete());
+        context.measurements.listMessageWritten(nowMicros, bytes, update.complete());
         deliver(nowMicros, watch, update);
     }
 
     private void writeLine(long nowMicros, Watch watch) {
         if (callers.contains(watch)) {
-            world.measurements.listLine(nowMicros, ListJson.LINE_OF_LIFE_BYTES);
+            context.measurements.listKeepAliveWritten(nowMicros, ListJson.LINE_OF_LIFE_BYTES);
             deliver(nowMicros, watch, null);
             atThisLife(nowMicros + LINE_MICROS, now -> writeLine(now, watch));
         }
@@ -202,22 +202,22 @@
 
     private void deliver(long nowMicros, Watch watch, ListUpdate update) {
         if (reaches(watch.machine)) {
-            long delay = world.network.listServiceDelayMicros(watch.machine);
-            world.queue.at(nowMicros + delay, now -> watch.client.heard(now, watch, update));
+            long delay = context.network.listServiceDelayMicros(watch.machine);
+            context.queue.at(nowMicros + delay, now -> watch.client.heard(now, watch, update));
         }
     }
 
     private void tellEnded(long nowMicros, Watch watch) {
         if (reaches(watch.machine)) {
-            long delay = world.network.listServiceDelayMicros(watch.machine);
-            world.queue.at(nowMicros + delay, now -> watch.client.ended(now, watch));
+            long delay = context.network.listServiceDelayMicros(watch.machine);
+            context.queue.at(nowMicros + delay, now -> watch.client.ended(now, watch));
         }
     }
 
     /** A sidecar has closed a watch; over a cut path that shows much later. */
     void closedBySidecar(long nowMicros, Watch watch) {
-        long delay = reaches(watch.machine) ? world.network.listServiceDelayMicros(watch.machine) : HALF_OPEN_MICROS;
-        world.queue.at(nowMicros + delay, now -> callers.remove(watch));
+        long delay = reaches(watch.machine) ? context.network.listServiceDelayMicros(watch.machine) : HALF_OPEN_MICROS;
+        context.queue.at(nowMicros + delay, now -> callers.remove(watch));
     }
 
     // ---- Outages.
@@ -239,7 +239,7 @@
 
     private void atThisLife(long timeMicros, Event event) {
         int ofLife = life;
-        world.queue.at(timeMicros, now -> {
+        context.queue.at(timeMicros, now -> {
             if (life == ofLife) {
                 event.fire(now);
             }
--- a/scale/src/main/java/gradehub/scale/model/Measurements.java
+++ b/scale/src/main/java/gradehub/scale/model/Measurements.java
@@ -9,27 +9,27 @@
 
     private static final int DIGITS = 3;
 
-    private final long fromMicros;
+    private final long warmupEndMicros;
     private final int[] layerOfMachine;
 
     final long[] callsByLayer;
-    final long[] sentByLayer;
-    final long[] arrivedByLayer;
-    final long[] arrivedByMachine;
-    final long[] sentByDistance = new long[Network.Distance.values().length];
+    final long[] attemptsSentByLayer;
+    final long[] attemptsArrivedByLayer;
+    final long[] attemptsArrivedByMachine;
+    final long[] attemptsSentByDistance = new long[Network.Distance.values().length];
     final long[] answers = new long[ApplicationCall.Answer.values().length];
     final long[] outcomes = new long[Outcome.values().length];
     final SecondRow[] seconds;
     long rootOffered;
     long rootServed;
     long rootFailed;
-    long repeats;
-    long allCalls;
+    long retries;
+    long totalCalls;
     long lateAnswers;
     /** Requests that sidecars have answered without an attempt. */
-    long unsent;
+    long answersWithoutAttempt;
 
-    long logLines;
+    long moduleLogLines;
     long listCalls;
     long listCallsFailed;
     long listBytesIn;
@@ -39,12 +39,12 @@
     long listBusyMicros;
     long listLongestBacklogMicros;
     long coldAttempts;
-    long coldFalls;
-    double coldLoadMost;
+    long coldFailures;
+    double maxColdLoad;
     final Histogram rootLatency = new Histogram(DIGITS);
-    final Histogram told = new Histogram(DIGITS);
-    final Histogram restored = new Histogram(DIGITS);
-    final Histogram configured = new Histogram(DIGITS);
+    final Histogram changeDelays = new Histogram(DIGITS);
+    final Histogram restoreDelays = new Histogram(DIGITS);
+    final Histogram moveDelays = new Histogram(DIGITS);
 
     /** What one simulated second has seen. */
     static final class SecondRow {
@@ -61,12 +61,12 @@
     }
 
     Measurements(Experiment experiment, Topology topology) {
-        this.fromMicros = World.micros(experiment.warmupSeconds());
+        this.warmupEndMicros = SimulationContext.toMicros(experiment.warmupSeconds());
         int layers = experiment.fleet().layers();
         this.callsByLayer = new long[layers];
-        this.sentByLayer = new long[layers];
-        this.arrivedByLayer = new long[layers];
-        this.arrivedByMachine = new long[topology.machines.size()];
+        this.attemptsSentByLayer = new long[layers];
+        this.attemptsArrivedByLayer = new long[layers];
+        this.attemptsArrivedByMachine = new long[topology.machines.size()];
         this.layerOfMachine = topology.machines.stream()
                 .mapToInt(machine -> topology.services.get(machine.service()).layer())
                 .toArray();
@@ -76,24 +76,24 @@
         }
     }
 
-    private boolean counts(long nowMicros) {
-        return nowMicros >= fromMicros;
+    private boolean isAfterWarmup(long nowMicros) {
+        return nowMicros >= warmupEndMicros;
     }
 
     private SecondRow second(long nowMicros) {
-        return seconds[(int) Math.min(seconds.length - 1, nowMicros / World.MICROS_PER_SECOND)];
+        return seconds[(int) Math.min(seconds.length - 1, nowMicros / SimulationContext.MICROS_PER_SECOND)];
     }
 
     // ---- Calls.
 
-    void rootOffered(long nowMicros) {
+    void rootCallStarted(long nowMicros) {
         second(nowMicros).rootOffered++;
-        rootOffered += counts(nowMicros) ? 1 : 0;
+        rootOffered += isAfterWarmup(nowMicros) ? 1 : 0;
     }
 
-    void rootEnded(long nowMicros, long intendedMicros, boolean served) {
+    void rootCallEnded(long nowMicros, long intendedMicros, boolean served) {
         second(nowMicros).rootServed += served ? 1 : 0;
-        if (!counts(intendedMicros)) {
+        if (!isAfterWarmup(intendedMicros)) {
             return;
         }
         rootServed += served ? 1 : 0;
@@ -104,120 +104,120 @@
     }
 
     /** An application calls the next layer. */
-    void called(long nowMicros, Topology.Machine from) {
-        allCalls++;
-        callsByLayer[layerOfMachine[from.number()] + 1] += counts(nowMicros) ? 1 : 0;
+    void callStarted(long nowMicros, Topology.Machine from) {
+        totalCalls++;
+        callsByLayer[layerOfMachine[from.number()] + 1] += isAfterWarmup(nowMicros) ? 1 : 0;
     }
 
     /** A client makes a further try. */
-    void repeated(long nowMicros) {
-        repeats += counts(nowMicros) ? 1 : 0;
+    void callRetried(long nowMicros) {
+        retries += isAfterWarmup(nowMicros) ? 1 : 0;
     }
 
-    void sent(long nowMicros, Topology.Machine target, Network.Distance distance) {
+    void attemptSent(long nowMicros, Topology.Machine target, Network.Distance distance) {
         second(nowMicros).attempts++;
-        if (counts(nowMicros)) {
-            sentByLayer[layerOfMachine[target.number()]]++;
-            sentByDistance[distance.ordinal()]++;
+        if (isAfterWarmup(nowMicros)) {
+            attemptsSentByLayer[layerOfMachine[target.number()]]++;
+            attemptsSentByDistance[distance.ordinal()]++;
         }
     }
 
-    void arrived(long nowMicros, Topology.Machine machine) {
+    void attemptArrived(long nowMicros, Topology.Machine machine) {
         int layer = layerOfMachine[machine.number()];
-        second(nowMicros).leafAttempts += layer == arrivedByLayer.length - 1 ? 1 : 0;
-        if (counts(nowMicros)) {
-            arrivedByLayer[layer]++;
-            arrivedByMachine[machine.number()]++;
+        second(nowMicros).leafAttempts += layer == attemptsArrivedByLayer.length - 1 ? 1 : 0;
+        if (isAfterWarmup(nowMicros)) {
+            attemptsArrivedByLayer[layer]++;
+            attemptsArrivedByMachine[machine.number()]++;
         }
     }
 
     void attemptEnded(long nowMicros, Outcome outcome) {
-        outcomes[outcome.ordinal()] += counts(nowMicros) ? 1 : 0;
+        outcomes[outcome.ordinal()] += isAfterWarmup(nowMicros) ? 1 : 0;
     }
 
     /** A sidecar has answered, this long after the deadline; {@code sent} tells whether it has made an attempt. */
-    void answered(long nowMicros, long lateMicros, ApplicationCall.Answer answer, boolean sent) {
-        if (counts(nowMicros)) {
+    void requestAnswered(long nowMicros, long lateMicros, ApplicationCall.Answer answer, boolean sent) {
+        if (isAfterWarmup(nowMicros)) {
             lateAnswers += lateMicros > 0 ? 1 : 0;
             answers[answer.ordinal()]++;
-            unsent += sent ? 0 : 1;
+            answersWithoutAttempt += sent ? 0 : 1;
         }
     }
 
-    void logged() {
-        logLines++;
+    void moduleLogLineWritten() {
+        moduleLogLines++;
     }
 
     /** An attempt has reached a cold upstream, which now bears this load against what it can take. */
-    void coldLoad(double load) {
+    void coldAttemptArrived(double load) {
         coldAttempts++;
-        coldLoadMost = Math.max(coldLoadMost, load);
+        maxColdLoad = Math.max(maxColdLoad, load);
     }
 
-    void coldFall() {
-        coldFalls++;
+    void coldUpstreamFailed() {
+        coldFailures++;
     }
 
     // ---- The list service.
 
-    void listCall(long nowMicros, int bytes) {
+    void listCallReceived(long nowMicros, int bytes) {
         SecondRow second = second(nowMicros);
         second.listCalls++;
         second.listBytesIn += bytes;
-        listCalls += counts(nowMicros) ? 1 : 0;
-        listBytesIn += counts(nowMicros) ? bytes : 0;
+        listCalls += isAfterWarmup(nowMicros) ? 1 : 0;
+        listBytesIn += isAfterWarmup(nowMicros) ? bytes : 0;
     }
 
     void listCallFailed(long nowMicros, int bytes) {
         second(nowMicros).listCallsFailed++;
         second(nowMicros).listBytesOut += bytes;
-        listCallsFailed += counts(nowMicros) ? 1 : 0;
-        listBytesOut += counts(nowMicros) ? bytes : 0;
+        listCallsFailed += isAfterWarmup(nowMicros) ? 1 : 0;
+        listBytesOut += isAfterWarmup(nowMicros) ? bytes : 0;
     }
 
-    void listWritten(long nowMicros, int bytes, boolean whole) {
+    void listMessageWritten(long nowMicros, int bytes, boolean whole) {
         second(nowMicros).listBytesOut += bytes;
-        listBytesOut += counts(nowMicros) ? bytes : 0;
-        listWholeLists += counts(nowMicros) && whole ? 1 : 0;
+        listBytesOut += isAfterWarmup(nowMicros) ? bytes : 0;
+        listWholeLists += isAfterWarmup(nowMicros) && whole ? 1 : 0;
     }
 
-    void listLine(long nowMicros, int bytes) {
+    void listKeepAliveWritten(long nowMicros, int bytes) {
         second(nowMicros).listBytesOut += bytes;
-        listBytesOut += counts(nowMicros) ? bytes : 0;
+        listBytesOut += isAfterWarmup(nowMicros) ? bytes : 0;
     }
 
     void listServiceBusy(long nowMicros, long costMicros, long backlogMicros) {
-        if (counts(nowMicros)) {
+        if (isAfterWarmup(nowMicros)) {
             listBusyMicros += costMicros;
             listLongestBacklogMicros = Math.max(listLongestBacklogMicros, backlogMicros);
         }
     }
 
     /** An entry of the list changes. */
-    void changed(long nowMicros) {
-        listChanges += counts(nowMicros) ? 1 : 0;
+    void listEntryChanged(long nowMicros) {
+        listChanges += isAfterWarmup(nowMicros) ? 1 : 0;
     }
 
     /** A sidecar is told of a change, this long after it was there and could be asked for. */
-    void told(long nowMicros, long delayMicros) {
-        if (counts(nowMicros)) {
-            told.recordValue(delayMicros);
+    void listChangeReceived(long nowMicros, long delayMicros) {
+        if (isAfterWarmup(nowMicros)) {
+            changeDelays.recordValue(delayMicros);
         }
     }
 
     /** A sidecar that had lost its watch has one again, this long after the list service could be reached. */
-    void listRestored(long nowMicros, long delayMicros) {
+    void watchRestored(long nowMicros, long delayMicros) {
         second(nowMicros).restored++;
-        if (counts(nowMicros)) {
-            restored.recordValue(delayMicros);
+        if (isAfterWarmup(nowMicros)) {
+            restoreDelays.recordValue(delayMicros);
         }
     }
 
     /** A sidecar has the list of another list service, this long after it was told to use that. */
-    void configured(long nowMicros, long delayMicros) {
+    void listServiceMoved(long nowMicros, long delayMicros) {
         second(nowMicros).configured++;
-        if (counts(nowMicros)) {
-            configured.recordValue(delayMicros);
+        if (isAfterWarmup(nowMicros)) {
+            moveDelays.recordValue(delayMicros);
         }
     }
 }
--- a/scale/src/main/java/gradehub/scale/model/ModelSidecar.java
+++ b/scale/src/main/java/gradehub/scale/model/ModelSidecar.java
@@ -26,7 +26,7 @@
     private static final double LATE_WORTH = 0.5;
     private static final double ASK_EVERY_MILLIS = 10_000;
 
-    private final World world;
+    private final SimulationContext context;
     private final Topology.Machine machine;
     private final SplittableRandom random;
     private final ListClient listClient;
@@ -35,12 +35,12 @@
     private int life;
     private boolean running;
 
-    ModelSidecar(World world, Topology.Machine machine) {
-        this.world = world;
+    ModelSidecar(SimulationContext context, Topology.Machine machine) {
+        this.context = context;
         this.machine = machine;
-        this.random = world.newRandom();
-        this.called = world.topology.services.get(machine.service()).called();
-        this.listClient = new ListClient(world, this);
+        this.random = context.newRandom();
+        this.called = context.topology.services.get(machine.service()).callees();
+        this.listClient = new ListClient(context, this);
     }
 
     Topology.Machine machine() {
@@ -76,8 +76,8 @@
         for (int i = 0; i < Math.max(1, called.size()); i++) {
             int callers = called.isEmpty()
                     ? 1
-                    : world.topology.services.get(called.get(i)).callers();
-            clients.add(new ServiceClient(world, this, settings(world.experiment, callers), random.nextLong()));
+                    : context.topology.services.get(called.get(i)).callerCount();
+            clients.add(new ServiceClient(context, this, settings(context.experiment, callers), random.nextLong()));
         }
         listClient.start(nowMicros);
         tell(nowMicros, ListKind.CACHED, known);
@@ -124,7 +124,7 @@
     /** Only the first module's wish counts: the network code keeps one watch for all. */
     void subscribe(ServiceClient client, boolean on) {
         if (on && client == clients.get(0)) {
-            listClient.subscribe(world.queue.nowMicros());
+            listClient.subscribe(context.queue.nowMicros());
         }
     }
 
@@ -151,7 +151,7 @@
         if (called.isEmpty()) {
             return 0;
         }
-        double mean = world.experiment.calls().callsPerRequest();
+        double mean = context.experiment.calls().callsPerRequest();
         int whole = (int) mean;
         boolean another = mean > whole && random.nextDouble() < mean - whole;
         return whole + (another ? 1 : 0);
--- a/scale/src/main/java/gradehub/scale/model/ModelUpstream.java
+++ b/scale/src/main/java/gradehub/scale/model/ModelUpstream.java
@@ -10,7 +10,7 @@
 /** A machine's application as an upstream: a queue before some cores, slow while it is cold, and the faults it has. */
 final class ModelUpstream {
 
-    private final World world;
+    private final SimulationContext context;
     private final Topology.Machine machine;
     private final UpstreamModel model;
     private final SplittableRandom random;
@@ -31,17 +31,17 @@
     private double errorPart;
     private double slowFactor = 1;
 
-    ModelUpstream(World world, Topology.Machine machine) {
-        this.world = world;
+    ModelUpstream(SimulationContext context, Topology.Machine machine) {
+        this.context = context;
         this.machine = machine;
-        this.model = world.experiment.upstream();
-        this.random = world.newRandom();
-        Topology.Service service = world.topology.services.get(machine.service());
-        double perMachine = service.planned() / service.machines().size();
-        double utilisation = world.experiment.fleet().utilisation();
+        this.model = context.experiment.upstream();
+        this.random = context.newRandom();
+        Topology.Service service = context.topology.services.get(machine.service());
+        double perMachine = service.plannedRate() / service.machines().size();
+        double utilisation = context.experiment.fleet().utilisation();
         this.meanWorkMicros = perMachine > 0
-                ? utilisation * model.cores() * World.MICROS_PER_SECOND / perMachine
-                : World.MICROS_PER_MILLI;
+                ? utilisation * model.cores() * SimulationContext.MICROS_PER_SECOND / perMachine
+                : SimulationContext.MICROS_PER_MILLI;
         double variance = Math.log1p(model.workVariation() * model.workVariation());
         this.logMean = Math.log(meanWorkMicros) - variance / 2;
         this.logDeviation = Math.sqrt(variance);
@@ -117,7 +117,7 @@
             attempt.client.reply(nowMicros, attempt, Outcome.CONNECT_FAILED);
             return;
         }
-        world.measurements.arrived(nowMicros, machine);
+        context.measurements.attemptArrived(nowMicros, machine);
         double work = Math.exp(logMean + logDeviation * random.nextGaussian());
         if (isOverloadedCold(nowMicros, work)) {
             return;
@@ -141,12 +141,12 @@
             return false;
         }
         double load = coldBudget.count(nowMicros, work / meanWorkMicros);
-        world.measurements.coldLoad(load);
+        context.measurements.coldAttemptArrived(load);
         if (load > 1 && !fallen) {
             fallen = true;
-            world.measurements.coldFall();
+            context.measurements.coldUpstreamFailed();
             kill(nowMicros);
-            world.listService.noticeLoss(nowMicros, machine);
+            context.listService.noticeLoss(nowMicros, machine);
         }
         return fallen;
     }
@@ -155,7 +155,7 @@
         running++;
         int ofLife = life;
         long duration = Math.max(1, Math.round(workMicros * slowFactor / coldBudget.capacity(nowMicros)));
-        world.queue.at(nowMicros + duration, now -> {
+        context.queue.at(nowMicros + duration, now -> {
             if (life == ofLife) {
                 worked(now, attempt);
             }
@@ -166,9 +166,9 @@
         running--;
         runNext(nowMicros);
         int ofLife = life;
-        int tries = world.experiment.calls().innerTries();
-        ModelSidecar sidecar = world.sidecars.get(machine.number());
-        Operation.begin(world, sidecar, nowMicros, attempt.deadlineMicros, tries, (now, succeeded) -> {
+        int tries = context.experiment.calls().innerTries();
+        ModelSidecar sidecar = context.sidecars.get(machine.number());
+        Operation.begin(context, sidecar, nowMicros, attempt.deadlineMicros, tries, (now, succeeded) -> {
             if (life == ofLife) {
                 letGo(attempt);
                 attempt.client.reply(now, attempt, succeeded ? Outcome.OK : Outcome.ERROR);
--- a/scale/src/main/java/gradehub/scale/model/Network.java
+++ b/scale/src/main/java/gradehub/scale/model/Network.java
@@ -18,13 +18,13 @@
     private static final int LIST_SERVICE_REGION = 0;
 
     private final NetworkModel model;
-    private final boolean[] parted;
-    private final long[] joinedMicros;
+    private final boolean[] isolated;
+    private final long[] reconnectedMicros;
 
     Network(NetworkModel model, int regions) {
         this.model = model;
-        this.parted = new boolean[regions];
-        this.joinedMicros = new long[regions];
+        this.isolated = new boolean[regions];
+        this.reconnectedMicros = new long[regions];
     }
 
     NetworkModel model() {
@@ -52,33 +52,33 @@
         return delayMicros(machine.region() == LIST_SERVICE_REGION ? Distance.OTHER_ZONE : Distance.OTHER_REGION);
     }
 
-    boolean reaches(Topology.Machine one, Topology.Machine other) {
-        return regionsReach(one.region(), other.region());
+    boolean isReachable(Topology.Machine one, Topology.Machine other) {
+        return areRegionsConnected(one.region(), other.region());
     }
 
-    boolean reachesListService(Topology.Machine machine) {
-        return regionsReach(machine.region(), LIST_SERVICE_REGION);
+    boolean isListServiceReachable(Topology.Machine machine) {
+        return areRegionsConnected(machine.region(), LIST_SERVICE_REGION);
     }
 
     /** When the path to the list service was last whole again; 0 if it was never cut. */
-    long listServiceJoinedMicros(Topology.Machine machine) {
+    long listServiceReconnectedMicros(Topology.Machine machine) {
         return machine.region() == LIST_SERVICE_REGION
                 ? 0
-                : Math.max(joinedMicros[machine.region()], joinedMicros[LIST_SERVICE_REGION]);
+                : Math.max(reconnectedMicros[machine.region()], reconnectedMicros[LIST_SERVICE_REGION]);
     }
 
     /** Cuts a region off from the others. */
-    void part(int region) {
-        parted[region] = true;
+    void isolateRegion(int region) {
+        isolated[region] = true;
     }
 
     /** Makes a region's paths whole again. */
-    void join(long nowMicros, int region) {
-        parted[region] = false;
-        joinedMicros[region] = nowMicros;
+    void reconnectRegion(long nowMicros, int region) {
+        isolated[region] = false;
+        reconnectedMicros[region] = nowMicros;
     }
 
-    private boolean regionsReach(int one, int other) {
-        return one == other || !parted[one] && !parted[other];
+    private boolean areRegionsConnected(int one, int other) {
+        return one == other || !isolated[one] && !isolated[other];
     }
 }
--- a/scale/src/main/java/gradehub/scale/model/Operation.java
+++ b/scale/src/main/java/gradehub/scale/model/Operation.java
@@ -10,35 +10,36 @@
         void ended(long nowMicros, boolean succeeded);
     }
 
-    private final World world;
+    private final SimulationContext context;
     private final ModelSidecar sidecar;
     private final int life;
     private final End end;
     private int pending;
     private boolean failed;
 
-    private Operation(World world, ModelSidecar sidecar, End end) {
-        this.world = world;
+    private Operation(SimulationContext context, ModelSidecar sidecar, End end) {
+        this.context = context;
         this.sidecar = sidecar;
         this.life = sidecar.life();
         this.end = end;
     }
 
     /** Begins an operation of the application beside this sidecar. */
-    static void begin(World world, ModelSidecar sidecar, long nowMicros, long deadlineMicros, int tries, End end) {
-        Operation operation = new Operation(world, sidecar, end);
+    static void begin(
+            SimulationContext context, ModelSidecar sidecar, long nowMicros, long deadlineMicros, int tries, End end) {
+        Operation operation = new Operation(context, sidecar, end);
         operation.pending = sidecar.drawCalls();
         if (operation.pending == 0) {
             end.ended(nowMicros, true);
             return;
         }
-        long delayMicros = world.network.model().localMicros();
+        long delayMicros = context.network.model().localMicros();
         int calls = operation.pending;
         for (int i = 0; i < calls; i++) {
             ServiceClient client = sidecar.drawClient();
-            ApplicationCall call = new ApplicationCall(world, operation, client, deadlineMicros, tries);
-            world.measurements.called(nowMicros, sidecar.machine());
-            world.queue.at(nowMicros + delayMicros, call::start);
+            ApplicationCall call = new ApplicationCall(context, operation, client, deadlineMicros, tries);
+            context.measurements.callStarted(nowMicros, sidecar.machine());
+            context.queue.at(nowMicros + delayMicros, call::start);
         }
     }
 
--- a/scale/src/main/java/gradehub/scale/model/RootClients.java
+++ b/scale/src/main/java/gradehub/scale/model/RootClients.java
@@ -5,27 +5,27 @@
 /** The outside clients of one machine of layer 0: open arrivals at random times, whatever becomes of earlier ones. */
 final class RootClients {
 
-    private final World world;
+    private final SimulationContext context;
     private final Topology.Machine machine;
     private final SplittableRandom random;
     private final double meanGapMicros;
     private final long deadlineMicros;
 
-    private RootClients(World world, Topology.Machine machine, double callsPerSecond) {
-        this.world = world;
+    private RootClients(SimulationContext context, Topology.Machine machine, double callsPerSecond) {
+        this.context = context;
         this.machine = machine;
-        this.random = world.newRandom();
-        this.meanGapMicros = World.MICROS_PER_SECOND / callsPerSecond;
-        this.deadlineMicros = world.experiment.calls().deadlineMillis() * World.MICROS_PER_MILLI;
+        this.random = context.newRandom();
+        this.meanGapMicros = SimulationContext.MICROS_PER_SECOND / callsPerSecond;
+        this.deadlineMicros = context.experiment.calls().deadlineMillis() * SimulationContext.MICROS_PER_MILLI;
     }
 
     /** Schedules the first arrival at each machine of layer 0. */
-    static void start(World world) {
-        for (Topology.Service service : world.topology.layer(0)) {
-            double callsPerSecond = service.planned() / service.machines().size();
+    static void start(SimulationContext context) {
+        for (Topology.Service service : context.topology.servicesInLayer(0)) {
+            double callsPerSecond = service.plannedRate() / service.machines().size();
             for (Topology.Machine machine : service.machines()) {
                 if (callsPerSecond > 0) {
-                    new RootClients(world, machine, callsPerSecond).scheduleNext(0);
+                    new RootClients(context, machine, callsPerSecond).scheduleNext(0);
                 }
             }
         }
@@ -33,22 +33,22 @@
 
     private void scheduleNext(long intendedMicros) {
         double gap = -Math.log(1 - random.nextDouble()) * meanGapMicros;
-        world.queue.at(intendedMicros + Math.max(1, Math.round(gap)), this::arrive);
+        context.queue.at(intendedMicros + Math.max(1, Math.round(gap)), this::arrive);
     }
 
     /** Clients of a machine that is down go elsewhere, outside of the fleet. */
     private void arrive(long nowMicros) {
-        ModelSidecar sidecar = world.sidecars.get(machine.number());
+        ModelSidecar sidecar = context.sidecars.get(machine.number());
         if (sidecar.isRunning()) {
-            world.measurements.rootOffered(nowMicros);
-            int tries = world.experiment.calls().rootTries();
+            context.measurements.rootCallStarted(nowMicros);
+            int tries = context.experiment.calls().rootTries();
             Operation.begin(
-                    world,
+                    context,
                     sidecar,
                     nowMicros,
                     nowMicros + deadlineMicros,
                     tries,
-                    (now, served) -> world.measurements.rootEnded(now, nowMicros, served));
+                    (now, served) -> context.measurements.rootCallEnded(now, nowMicros, served));
         }
         scheduleNext(nowMicros);
     }
--- a/scale/src/main/java/gradehub/scale/model/ServiceClient.java
+++ b/scale/src/main/java/gradehub/scale/model/ServiceClient.java
@@ -36,7 +36,7 @@
 
     private static final double[] NO_REPORT = {};
 
-    private final World world;
+    private final SimulationContext context;
     private final ModelSidecar sidecar;
     private final int maxAttempts;
     private final Balancer balancer;
@@ -44,8 +44,8 @@
     private int lastRequest;
     private boolean live = true;
 
-    ServiceClient(World world, ModelSidecar sidecar, Balancer.Settings settings, long seed) {
-        this.world = world;
+    ServiceClient(SimulationContext context, ModelSidecar sidecar, Balancer.Settings settings, long seed) {
+        this.context = context;
         this.sidecar = sidecar;
         this.maxAttempts = settings.limits().maxAttempts();
         this.balancer = new LoadShiftingBalancer(settings, seed, this);
@@ -57,7 +57,7 @@
     }
 
     void start(long nowMicros) {
-        balancer.start(World.millis(nowMicros));
+        balancer.start(SimulationContext.toMillis(nowMicros));
     }
 
     /** The sidecar's process has ended: nothing is told any more. */
@@ -67,14 +67,15 @@
     }
 
     void listed(long nowMicros, ListKind kind, List<Upstream> entries) {
-        balancer.upstreams(World.millis(nowMicros), kind, entries);
+        balancer.upstreams(SimulationContext.toMillis(nowMicros), kind, entries);
     }
 
     void request(long nowMicros, ApplicationCall call, long deadlineMicros, boolean repeat) {
         Exchange exchange = new Exchange(++lastRequest, call, deadlineMicros);
         exchanges.put(exchange.id, exchange);
-        double timeoutMillis = World.millis(deadlineMicros - nowMicros);
-        balancer.request(World.millis(nowMicros), new Request(exchange.id, 0, 0, timeoutMillis, repeat, 0));
+        double timeoutMillis = SimulationContext.toMillis(deadlineMicros - nowMicros);
+        balancer.request(
+                SimulationContext.toMillis(nowMicros), new Request(exchange.id, 0, 0, timeoutMillis, repeat, 0));
     }
 
     /** An attempt has ended; what comes after its first end is not told. */
@@ -85,13 +86,13 @@
         attempt.ended = true;
         Exchange exchange = attempt.exchange;
         exchange.out--;
-        world.measurements.attemptEnded(nowMicros, outcome);
+        context.measurements.attemptEnded(nowMicros, outcome);
         if (outcome == Outcome.OK) {
             answer(exchange, ApplicationCall.Answer.SERVED);
         }
-        double elapsedMillis = World.millis(nowMicros - attempt.sentMicros);
+        double elapsedMillis = SimulationContext.toMillis(nowMicros - attempt.sentMicros);
         balancer.attemptEnded(
-                World.millis(nowMicros),
+                SimulationContext.toMillis(nowMicros),
                 new AttemptEnd(
                         exchange.id,
                         attempt.number,
@@ -110,10 +111,10 @@
             return;
         }
         exchange.over = true;
-        long nowMicros = world.queue.nowMicros();
+        long nowMicros = context.queue.nowMicros();
         boolean sent = !exchange.attempts.isEmpty();
-        world.measurements.answered(nowMicros, nowMicros - exchange.deadlineMicros, answer, sent);
-        world.queue.after(world.network.model().localMicros(), now -> exchange.call.answered(now, answer));
+        context.measurements.requestAnswered(nowMicros, nowMicros - exchange.deadlineMicros, answer, sent);
+        context.queue.after(context.network.model().localMicros(), now -> exchange.call.answered(now, answer));
     }
 
     private void finish(int request, ApplicationCall.Answer answer) {
@@ -129,39 +130,41 @@
     @Override
     public void send(int request, int upstream, double timeoutMs) {
         Exchange exchange = exchanges.get(request);
-        long now = world.queue.nowMicros();
-        long wanted = timeoutMs == 0 ? exchange.deadlineMicros : now + Math.round(timeoutMs * World.MICROS_PER_MILLI);
+        long now = context.queue.nowMicros();
+        long wanted = timeoutMs == 0
+                ? exchange.deadlineMicros
+                : now + Math.round(timeoutMs * SimulationContext.MICROS_PER_MILLI);
         long deadline = Math.min(wanted, exchange.deadlineMicros);
-        ModelUpstream target = world.upstreams.get(upstream);
+        ModelUpstream target = context.upstreams.get(upstream);
         Attempt attempt = new Attempt(this, exchange, exchange.attempts.size(), target, now, deadline);
         exchange.attempts.add(attempt);
         exchange.out++;
         if (exchange.over || attempt.number >= maxAttempts || exchange.deadlineMicros <= now) {
-            world.queue.at(now, later -> attemptEnded(later, attempt, Outcome.NOT_SENT));
+            context.queue.at(now, later -> attemptEnded(later, attempt, Outcome.NOT_SENT));
             return;
         }
-        world.queue.at(deadline, attempt);
+        context.queue.at(deadline, attempt);
         transmit(now, attempt);
     }
 
     private void transmit(long now, Attempt attempt) {
         Topology.Machine target = attempt.upstream.machine();
-        world.measurements.sent(now, target, Network.distance(sidecar.machine(), target));
-        if (world.reaches(sidecar.machine(), target)) {
-            long delay = world.delayMicros(sidecar.machine(), target);
-            world.queue.at(now + delay, later -> attempt.upstream.arrive(later, attempt));
+        context.measurements.attemptSent(now, target, Network.distance(sidecar.machine(), target));
+        if (context.isReachable(sidecar.machine(), target)) {
+            long delay = context.delayMicros(sidecar.machine(), target);
+            context.queue.at(now + delay, later -> attempt.upstream.arrive(later, attempt));
         } else {
-            long timeout = world.network.model().connectTimeoutMillis() * World.MICROS_PER_MILLI;
-            world.queue.at(now + timeout, later -> attemptEnded(later, attempt, Outcome.CONNECT_FAILED));
+            long timeout = context.network.model().connectTimeoutMillis() * SimulationContext.MICROS_PER_MILLI;
+            context.queue.at(now + timeout, later -> attemptEnded(later, attempt, Outcome.CONNECT_FAILED));
         }
     }
 
     /** Passes an upstream's answer on, as far as there is a path. */
     void reply(long nowMicros, Attempt attempt, Outcome outcome) {
         Topology.Machine from = attempt.upstream.machine();
-        if (live && !attempt.ended && world.reaches(sidecar.machine(), from)) {
-            long delay = world.delayMicros(sidecar.machine(), from);
-            world.queue.at(nowMicros + delay, now -> attemptEnded(now, attempt, outcome));
+        if (live && !attempt.ended && context.isReachable(sidecar.machine(), from)) {
+            long delay = context.delayMicros(sidecar.machine(), from);
+            context.queue.at(nowMicros + delay, now -> attemptEnded(now, attempt, outcome));
         }
     }
 
@@ -180,7 +183,7 @@
         Exchange exchange = exchanges.get(request);
         if (exchange != null && attempt >= 0 && attempt < exchange.attempts.size()) {
             Attempt cancelled = exchange.attempts.get(attempt);
-            world.queue.after(0, now -> attemptEnded(now, cancelled, Outcome.CANCELLED));
+            context.queue.after(0, now -> attemptEnded(now, cancelled, Outcome.CANCELLED));
         }
     }
 
@@ -191,9 +194,9 @@
 
     @Override
     public void timer(double delayMs, int token) {
-        world.queue.after((long) Math.ceil(delayMs * World.MICROS_PER_MILLI), now -> {
+        context.queue.after((long) Math.ceil(delayMs * SimulationContext.MICROS_PER_MILLI), now -> {
             if (live) {
-                balancer.timer(World.millis(now), token);
+                balancer.timer(SimulationContext.toMillis(now), token);
             }
         });
     }
@@ -215,6 +218,6 @@
 
     @Override
     public void log(String line) {
-        world.measurements.logged();
+        context.measurements.moduleLogLineWritten();
     }
 }
--- a/scale/src/main/java/gradehub/scale/model/Simulation.java
+++ b/scale/src/main/java/gradehub/scale/model/Simulation.java
@@ -9,42 +9,42 @@
 
     /** Told of the progress of a run. */
     @FunctionalInterface
-    public interface Progress {
+    public interface ProgressListener {
         /** So much simulated time has passed and so many calls have been made; false ends the run. */
-        boolean goOn(double simulatedSeconds, long calls);
+        boolean onProgress(double simulatedSeconds, long calls);
     }
 
-    private final World world;
+    private final SimulationContext context;
 
     /** Builds the fleet; nothing has happened yet. */
     public Simulation(Experiment experiment) {
-        this(new World(experiment));
+        this(new SimulationContext(experiment));
     }
 
-    Simulation(World world) {
-        this.world = world;
+    Simulation(SimulationContext context) {
+        this.context = context;
     }
 
     /** Plays the experiment to its end, or until {@code progress} ends it, and tells what was measured. */
-    public RunResult run(Progress progress) {
+    public RunResult run(ProgressListener listener) {
         start();
-        long end = World.micros(world.experiment.totalSeconds());
-        boolean going = true;
-        while (going && world.queue.nowMicros() < end) {
-            world.queue.runUntil(Math.min(end, world.queue.nowMicros() + World.MICROS_PER_SECOND));
-            double seconds = world.queue.nowMicros() / (double) World.MICROS_PER_SECOND;
-            going = progress.goOn(seconds, world.measurements.allCalls);
+        long end = SimulationContext.toMicros(context.experiment.totalSeconds());
+        boolean running = true;
+        while (running && context.queue.nowMicros() < end) {
+            context.queue.runUntil(Math.min(end, context.queue.nowMicros() + SimulationContext.MICROS_PER_SECOND));
+            double seconds = context.queue.nowMicros() / (double) SimulationContext.MICROS_PER_SECOND;
+            running = listener.onProgress(seconds, context.measurements.totalCalls);
         }
-        return Figures.of(world, world.queue.nowMicros() >= end);
+        return Figures.compute(context, context.queue.nowMicros() >= end);
     }
 
     private void start() {
-        for (ModelSidecar sidecar : world.sidecars) {
-            sidecar.start(0, world.listService.wholeList(sidecar.machine()));
+        for (ModelSidecar sidecar : context.sidecars) {
+            sidecar.start(0, context.listService.wholeList(sidecar.machine()));
         }
-        RootClients.start(world);
-        FaultSchedule faults = new FaultSchedule(world);
-        for (Fault fault : world.experiment.faults()) {
+        RootClients.start(context);
+        FaultSchedule faults = new FaultSchedule(context);
+        for (Fault fault : context.experiment.faults()) {
             faults.add(fault);
         }
     }
--- a/scale/src/main/java/gradehub/scale/model/World.java
+++ b/scale/src/main/java/gradehub/scale/model/SimulationContext.java
@@ -6,7 +6,7 @@
 import java.util.SplittableRandom;
 
 /** All parts of one simulated fleet, which find each other here. */
-final class World {
+final class SimulationContext {
 
     static final long MICROS_PER_MILLI = 1000;
     static final long MICROS_PER_SECOND = 1_000_000;
@@ -21,7 +21,7 @@
     final List<ModelSidecar> sidecars = new ArrayList<>();
     private final SplittableRandom random;
 
-    World(Experiment experiment) {
+    SimulationContext(Experiment experiment) {
         this.experiment = experiment;
         this.random = new SplittableRandom(experiment.seed());
         this.topology = new Topology(experiment.fleet(), experiment.calls(), random.nextLong());
@@ -39,19 +39,19 @@
         return random.split();
     }
 
-    static double millis(long micros) {
+    static double toMillis(long micros) {
         return micros / (double) MICROS_PER_MILLI;
     }
 
-    static long micros(double seconds) {
+    static long toMicros(double seconds) {
         return Math.round(seconds * MICROS_PER_SECOND);
     }
 
     /** Whether messages get through between two machines: neither is silent, and no path is cut. */
-    boolean reaches(Topology.Machine one, Topology.Machine other) {
+    boolean isReachable(Topology.Machine one, Topology.Machine other) {
         return !upstreams.get(one.number()).isSilent()
                 && !upstreams.get(other.number()).isSilent()
-                && network.reaches(one, other);
+                && network.isReachable(one, other);
     }
 
     /** The delay of a message between two machines. */
--- a/scale/src/main/java/gradehub/scale/model/Topology.java
+++ b/scale/src/main/java/gradehub/scale/model/Topology.java
@@ -22,11 +22,17 @@
     /**
      * A service.
      *
-     * @param called the services that it calls
-     * @param callers machines that call it
-     * @param planned requests a second at the planned rate
+     * @param callees the services that it calls
+     * @param callerCount machines that call it
+     * @param plannedRate requests a second at the planned rate
      */
-    record Service(int number, int layer, List<Machine> machines, List<Integer> called, int callers, double planned) {}
+    record Service(
+            int number,
+            int layer,
+            List<Machine> machines,
+            List<Integer> callees,
+            int callerCount,
+            double plannedRate) {}
 
     final List<Zone> zones;
     final List<String> regions;
@@ -59,7 +65,7 @@
     }
 
     /** The services of a layer. */
-    List<Service> layer(int layer) {
+    List<Service> servicesInLayer(int layer) {
         return services.stream().filter(service -> service.layer() == layer).toList();
     }
 
--- a/scale/src/main/java/gradehub/scale/result/Slopes.java
+++ b/scale/src/main/java/gradehub/scale/result/Slopes.java
@@ -45,7 +45,7 @@
      * @param mostRatio the greatest value over size of any run
      * @param bySize the values of the runs of each size, in order of size
      */
-    public record Slope(
+    public record LinearFit(
             String experiment,
             String figure,
             String unit,
@@ -77,7 +77,7 @@
     private record Point(int size, double value) {}
 
     /** Reads a summary and fits each of its figures. */
-    public static List<Slope> read(Path summary) throws IOException {
+    public static List<LinearFit> read(Path summary) throws IOException {
         Map<List<String>, List<Point>> points = new LinkedHashMap<>();
         try (CSVParser rows = CSVParser.parse(summary, StandardCharsets.UTF_8, INPUT)) {
             for (CSVRecord row : rows) {
@@ -88,15 +88,15 @@
                 }
             }
         }
-        List<Slope> slopes = new ArrayList<>();
+        List<LinearFit> slopes = new ArrayList<>();
         points.forEach((key, ofFigure) -> slopes.add(fit(key, ofFigure)));
         return slopes;
     }
 
     /** Writes slopes as CSV; figures that are 0 in all runs are left out. */
-    public static void write(List<Slope> slopes, Appendable output) throws IOException {
+    public static void write(List<LinearFit> slopes, Appendable output) throws IOException {
         CSVPrinter rows = new CSVPrinter(output, OUTPUT);
-        for (Slope slope : slopes) {
+        for (LinearFit slope : slopes) {
             if (!slope.isZero()) {
                 DoubleSummaryStatistics largest = slope.bySize().lastEntry().getValue();
                 rows.printRecord(
@@ -122,7 +122,7 @@
         return String.join(" ", words);
     }
 
-    private static Slope fit(List<String> key, List<Point> points) {
+    private static LinearFit fit(List<String> key, List<Point> points) {
         double meanSize = points.stream().mapToDouble(Point::size).average().orElseThrow();
         double meanValue = points.stream().mapToDouble(Point::value).average().orElseThrow();
         double products = 0;
@@ -137,7 +137,7 @@
                     .accept(point.value());
         }
         double slope = squares == 0 ? 0 : products / squares;
-        return new Slope(
+        return new LinearFit(
                 key.get(0),
                 key.get(1),
                 key.get(2),
--- a/scale/src/test/java/gradehub/scale/model/CallTreeTest.java
+++ b/scale/src/test/java/gradehub/scale/model/CallTreeTest.java
@@ -21,59 +21,62 @@
 
     private static final double EXTRA_SAVED = 20;
 
-    private static World play(Experiment experiment) {
-        World world = new World(experiment);
-        new Simulation(world).run((seconds, calls) -> true);
-        return world;
+    private static SimulationContext play(Experiment experiment) {
+        SimulationContext context = new SimulationContext(experiment);
+        new Simulation(context).run((seconds, calls) -> true);
+        return context;
     }
 
     /** Attempts to a layer for each request that its callers take: at most a quarter more, and what was saved up. */
-    private static void assertBounded(World world) {
-        Measurements counted = world.measurements;
+    private static void assertBounded(SimulationContext context) {
+        Measurements counted = context.measurements;
         double bound = counted.rootOffered;
         for (int layer = 1; layer <= HOPS; layer++) {
-            int callers = world.topology.layer(layer - 1).stream()
+            int callers = context.topology.servicesInLayer(layer - 1).stream()
                     .mapToInt(service ->
-                            service.machines().size() * service.called().size())
+                            service.machines().size() * service.callees().size())
                     .sum();
             double mostOfHop = (1 + EXTRA) * counted.callsByLayer[layer] + EXTRA_SAVED * callers;
             assertTrue(
-                    counted.sentByLayer[layer] <= mostOfHop,
-                    "layer " + layer + ": " + counted.sentByLayer[layer] + " attempts for "
+                    counted.attemptsSentByLayer[layer] <= mostOfHop,
+                    "layer " + layer + ": " + counted.attemptsSentByLayer[layer] + " attempts for "
                             + counted.callsByLayer[layer] + " calls");
             bound = (1 + EXTRA) * bound + EXTRA_SAVED * callers;
         }
         assertTrue(
-                counted.arrivedByLayer[HOPS] <= bound, counted.arrivedByLayer[HOPS] + " at the leaf, at most " + bound);
+                counted.attemptsArrivedByLayer[HOPS] <= bound,
+                counted.attemptsArrivedByLayer[HOPS] + " at the leaf, at most " + bound);
     }
 
     @Test
     void aSoundTreeServesAllWithHardlyMoreThanOneAttemptACall() {
-        World world = play(TestExperiments.small());
-        Measurements counted = world.measurements;
+        SimulationContext context = play(TestExperiments.small());
+        Measurements counted = context.measurements;
         assertTrue(counted.rootOffered > 1500);
         assertEquals(counted.rootOffered, counted.rootServed, 0.05 * counted.rootOffered); // some are out at the end
         assertEquals(0, counted.rootFailed);
-        assertTrue(counted.sentByLayer[HOPS] < 1.25 * counted.rootOffered);
+        assertTrue(counted.attemptsSentByLayer[HOPS] < 1.25 * counted.rootOffered);
         assertEquals(0, counted.lateAnswers);
-        assertBounded(world);
+        assertBounded(context);
     }
 
     @ParameterizedTest
     @CsvSource({"1, 0.1", "4, 0.1", "4, 0.3", "4, 0.5", "7, 0.1", "7, 0.3", "7, 0.5"})
     void failuresOfALayerMultiplyAttemptsByNoMoreThanTheBudget(int layer, double part) {
         Experiment small = TestExperiments.small();
-        World world = play(TestExperiments.with(small, 2, 8, new Fault.UpstreamsFail(1, 9, layer, part, 1)));
-        assertTrue(world.measurements.outcomes[Outcome.ERROR.ordinal()] > 0, "some fail");
-        assertBounded(world);
+        SimulationContext context =
+                play(TestExperiments.with(small, 2, 8, new Fault.UpstreamsFail(1, 9, layer, part, 1)));
+        assertTrue(context.measurements.outcomes[Outcome.ERROR.ordinal()] > 0, "some fail");
+        assertBounded(context);
     }
 
     @ParameterizedTest
     @CsvSource({"4, 0.5, 10", "7, 0.3, 50", "7, 0.5, 4"})
     void slownessOfALayerMultipliesAttemptsByNoMoreThanTheBudget(int layer, double part, double factor) {
         Experiment small = TestExperiments.small();
-        World world = play(TestExperiments.with(small, 2, 8, new Fault.UpstreamsSlow(1, 9, layer, part, factor)));
-        assertBounded(world);
+        SimulationContext context =
+                play(TestExperiments.with(small, 2, 8, new Fault.UpstreamsSlow(1, 9, layer, part, factor)));
+        assertBounded(context);
     }
 
     /** A tenth of a layer fails at once: with what is left there is room for all. */
--- a/scale/src/test/java/gradehub/scale/model/ColdReturnTest.java
+++ b/scale/src/test/java/gradehub/scale/model/ColdReturnTest.java
@@ -58,11 +58,11 @@
         UpstreamModel frail = new UpstreamModel(2, 64, 1, 0.01, 20_000, 0.1, 2000);
         Experiment small = TestExperiments.withUpstreams(TestExperiments.small().atSize(120), frail, 0.5);
         Experiment experiment = TestExperiments.with(small, 3, 30, new Fault.ZoneLost(3, 5, "north-2"));
-        World world = new World(experiment);
-        RunResult result = new Simulation(world).run((seconds, calls) -> true);
+        SimulationContext context = new SimulationContext(experiment);
+        RunResult result = new Simulation(context).run((seconds, calls) -> true);
         assertTrue(result.figure("cold-falls") > 0);
         assertEquals(
                 result.figure("cold-falls"),
-                world.upstreams.stream().filter(upstream -> !upstream.isUp()).count());
+                context.upstreams.stream().filter(upstream -> !upstream.isUp()).count());
     }
 }
--- a/scale/src/test/java/gradehub/scale/model/ListServiceTest.java
+++ b/scale/src/test/java/gradehub/scale/model/ListServiceTest.java
@@ -51,22 +51,22 @@
     private static double changeBytes(int size, int changes) {
         // Machines that fall silent are listed as having left: one change each.
         Fault lost = new Fault.MachinesLost(2, 17, changes);
-        World world = new World(quiet(size, scope(Scope.FLEET), 10, lost));
-        long wholeDay = totalBytes(world);
-        assertEquals(changes, world.measurements.listChanges);
+        SimulationContext context = new SimulationContext(quiet(size, scope(Scope.FLEET), 10, lost));
+        long wholeDay = totalBytes(context);
+        assertEquals(changes, context.measurements.listChanges);
         long lines = 0;
-        for (ModelSidecar sidecar : world.sidecars) {
+        for (ModelSidecar sidecar : context.sidecars) {
             // A watch lasts to the end of the run, or until 15 s after its machine has fallen silent.
             lines += ListJson.LINE_OF_LIFE_BYTES * 5;
             assertTrue(sidecar.isRunning()
-                    || !world.upstreams.get(sidecar.machine().number()).isUp());
+                    || !context.upstreams.get(sidecar.machine().number()).isUp());
         }
         return (wholeDay - lines) / (double) size;
     }
 
-    private static long totalBytes(World world) {
-        new Simulation(world).run((seconds, calls) -> true);
-        return world.measurements.listBytesIn + world.measurements.listBytesOut;
+    private static long totalBytes(SimulationContext context) {
+        new Simulation(context).run((seconds, calls) -> true);
+        return context.measurements.listBytesIn + context.measurements.listBytesOut;
     }
 
     @Test
@@ -84,8 +84,8 @@
     @Test
     void aMoveAsksForWholeListsAndThoseGrowWithTheFleet() {
         Fault move = new Fault.ConfigurationChange(2, 0);
-        World small = new World(quiet(60, scope(Scope.FLEET), 10, move));
-        World large = new World(quiet(240, scope(Scope.FLEET), 10, move));
+        SimulationContext small = new SimulationContext(quiet(60, scope(Scope.FLEET), 10, move));
+        SimulationContext large = new SimulationContext(quiet(240, scope(Scope.FLEET), 10, move));
         double ofSmall = totalBytes(small) / 60.0;
         double ofLarge = totalBytes(large) / 240.0;
         assertEquals(60, small.measurements.listWholeLists);
@@ -99,16 +99,16 @@
         Fault outage = new Fault.ListServiceDown(2, 9);
         Fault change = new Fault.MachinesLost(3, 100, 5);
         Experiment experiment = quiet(750, scope(scope), 20, outage, change).withSeed(seed);
-        World world = new World(experiment);
-        RunResult result = new Simulation(world).run((seconds, calls) -> true);
+        SimulationContext context = new SimulationContext(experiment);
+        RunResult result = new Simulation(context).run((seconds, calls) -> true);
         assertEquals(745, result.figure("restored-count"), "all that live have lost their watch and have it again");
         assertEquals(745, result.figure("sidecars-with-watch-at-end"));
         assertTrue(result.figure("restored-last") <= TOLD_MILLIS, "last after " + result.figure("restored-last"));
         assertTrue(result.figure("told-last") <= TOLD_MILLIS, "told after " + result.figure("told-last"));
         assertTrue(result.figure("told-count") >= (scope == Scope.FLEET ? 745 : 1));
-        for (ModelSidecar sidecar : world.sidecars) {
+        for (ModelSidecar sidecar : context.sidecars) {
             boolean lives = sidecar.isRunning();
-            assertTrue(!lives || sidecar.listClient().revision() == world.listService.revision());
+            assertTrue(!lives || sidecar.listClient().revision() == context.listService.revision());
         }
     }
 
@@ -135,9 +135,10 @@
     @Test
     void aPartedRegionIsToldOnceItIsJoined() {
         Fault parted = new Fault.RegionParted(2, 12, "south");
-        World world = new World(quiet(120, SMALL_SERVICE, 30, parted, new Fault.MachinesLost(6, 100, 4)));
-        RunResult result = new Simulation(world).run((seconds, calls) -> true);
-        long south = world.sidecars.stream()
+        SimulationContext context =
+                new SimulationContext(quiet(120, SMALL_SERVICE, 30, parted, new Fault.MachinesLost(6, 100, 4)));
+        RunResult result = new Simulation(context).run((seconds, calls) -> true);
+        long south = context.sidecars.stream()
                 .filter(sidecar -> sidecar.machine().region() == 1 && sidecar.isRunning())
                 .count();
         assertTrue(south > 20);
@@ -148,15 +149,15 @@
 
     @Test
     void aRestartedMachineIsListedAsLeavingAndThenWithANewStart() {
-        World world = new World(quiet(60, SMALL_SERVICE, 20, new Fault.Restarts(5, 0, 1, 4)));
-        new Simulation(world).run((seconds, calls) -> true);
-        assertEquals(2, world.measurements.listChanges);
+        SimulationContext context = new SimulationContext(quiet(60, SMALL_SERVICE, 20, new Fault.Restarts(5, 0, 1, 4)));
+        new Simulation(context).run((seconds, calls) -> true);
+        assertEquals(2, context.measurements.listChanges);
         assertEquals(
                 1,
-                world.sidecars.stream().filter(sidecar -> sidecar.life() == 1).count());
+                context.sidecars.stream().filter(sidecar -> sidecar.life() == 1).count());
         assertEquals(
                 1,
-                world.upstreams.stream()
+                context.upstreams.stream()
                         .filter(upstream -> upstream.startedMicros() == 10_000_000)
                         .count());
     }
--- a/scale/src/test/java/gradehub/scale/model/SimulationTest.java
+++ b/scale/src/test/java/gradehub/scale/model/SimulationTest.java
@@ -67,16 +67,16 @@
     @Test
     void theFleetHasItsSizesAndEachServiceHasACaller() {
         Experiment experiment = TestExperiments.small().atSize(750);
-        Topology topology = new World(experiment).topology;
+        Topology topology = new SimulationContext(experiment).topology;
         assertEquals(750, topology.machines.size());
         for (Topology.Service service : topology.services) {
             int size = service.machines().size();
             assertTrue(size >= 3 && size <= 8, size + " upstreams");
-            assertEquals(service.layer() > 0, service.callers() > 0);
-            assertEquals(service.layer() < 7, !service.called().isEmpty());
+            assertEquals(service.layer() > 0, service.callerCount() > 0);
+            assertEquals(service.layer() < 7, !service.callees().isEmpty());
         }
-        double leaves = topology.layer(7).stream()
-                .mapToDouble(Topology.Service::planned)
+        double leaves = topology.servicesInLayer(7).stream()
+                .mapToDouble(Topology.Service::plannedRate)
                 .sum();
         assertEquals(experiment.calls().rootCallsPerSecond(), leaves, 1e-6);
     }
@@ -111,11 +111,11 @@
         Experiment small = TestExperiments.withRate(TestExperiments.small(), 150);
         Experiment experiment =
                 TestExperiments.with(small, 0, 8, faults.toArray(new Fault[0])).withSeed(seed);
-        World world = new World(experiment);
-        new Simulation(world).run((seconds, calls) -> true);
-        Measurements counted = world.measurements;
+        SimulationContext context = new SimulationContext(experiment);
+        new Simulation(context).run((seconds, calls) -> true);
+        Measurements counted = context.measurements;
         assertEquals(0, counted.lateAnswers);
-        long restarts = world.sidecars.stream().mapToInt(ModelSidecar::life).sum();
+        long restarts = context.sidecars.stream().mapToInt(ModelSidecar::life).sum();
         long outAtTheEnd = counted.rootOffered - counted.rootServed - counted.rootFailed;
         double mostOut = 150 * 2.1 + restarts * 30;
         assertTrue(outAtTheEnd >= 0 && outAtTheEnd <= mostOut, outAtTheEnd + " of " + counted.rootOffered);
--- a/scale/src/test/java/gradehub/scale/result/SlopesTest.java
+++ b/scale/src/test/java/gradehub/scale/result/SlopesTest.java
@@ -29,7 +29,8 @@
                         List.of()));
             }
         }
-        Slopes.Slope slope = Slopes.read(folder.resolve(ResultFiles.SUMMARY)).get(0);
+        Slopes.LinearFit slope =
+                Slopes.read(folder.resolve(ResultFiles.SUMMARY)).get(0);
         assertEquals(3, slope.slope(), 1e-9);
         assertEquals(5, slope.intercept(), 1e-9);
         assertEquals(3.125, slope.leastRatio(), 1e-9);
