--- a/scale/src/main/java/gradehub/scale/model/ApplicationCall.java
+++ b/scale/src/main/java/gradehub/scale/model/ApplicationCall.java
@@ -46,7 +46,7 @@
             operation.callEnded(nowMicros, answer == Answer.SERVED);
         } else if (operation.isLive()) {
             triesLeft--;
-            context.queue.at(nowMicros + pauseMicros, this::repeat);
+            context.queue.scheduleAt(nowMicros + pauseMicros, this::repeat);
         }
     }
 
--- a/scale/src/main/java/gradehub/scale/model/FaultSchedule.java
+++ b/scale/src/main/java/gradehub/scale/model/FaultSchedule.java
@@ -37,11 +37,11 @@
             lose(from, until, inZone(lost.zone()));
         } else if (fault instanceof Fault.RegionParted parted) {
             int region = context.topology.regions.indexOf(parted.region());
-            context.queue.at(from, now -> context.network.isolateRegion(region));
-            context.queue.at(until, now -> context.network.reconnectRegion(now, region));
+            context.queue.scheduleAt(from, now -> context.network.isolateRegion(region));
+            context.queue.scheduleAt(until, now -> context.network.reconnectRegion(now, region));
         } else if (fault instanceof Fault.ListServiceDown) {
-            context.queue.at(from, context.listService::goDown);
-            context.queue.at(until, context.listService::comeBack);
+            context.queue.scheduleAt(from, context.listService::startOutage);
+            context.queue.scheduleAt(until, context.listService::endOutage);
         } else if (fault instanceof Fault.ConfigurationChange) {
             configure(from, until - from);
         }
@@ -62,8 +62,8 @@
             int count = (int) Math.floor(part * machines.size() + random.nextDouble());
             for (Topology.Machine machine : machines.subList(0, Math.min(count, machines.size()))) {
                 ModelUpstream upstream = context.upstreams.get(machine.number());
-                context.queue.at(from, now -> setting.accept(upstream, faulty));
-                context.queue.at(until, now -> setting.accept(upstream, sound));
+                context.queue.scheduleAt(from, now -> setting.accept(upstream, faulty));
+                context.queue.scheduleAt(until, now -> setting.accept(upstream, sound));
             }
         }
     }
@@ -83,12 +83,12 @@
 
     private void lose(long from, long until, List<Topology.Machine> machines) {
         for (Topology.Machine machine : machines) {
-            context.queue.at(from, now -> {
+            context.queue.scheduleAt(from, now -> {
                 context.upstreams.get(machine.number()).lose();
                 context.sidecars.get(machine.number()).stop(now);
-                context.listService.noticeLoss(now, machine);
+                context.listService.scheduleLossDetection(now, machine);
             });
-            context.queue.at(until, now -> startAgain(now, machine));
+            context.queue.scheduleAt(until, now -> startAgain(now, machine));
         }
     }
 
@@ -99,30 +99,31 @@
             ModelUpstream upstream = context.upstreams.get(machine.number());
             long leaves = from + spreadMicros * i / machines.size();
             long ends = leaves + DRAIN_MICROS;
-            context.queue.at(
+            context.queue.scheduleAt(
                     leaves,
-                    now -> context.listService.change(now, machine, ListEntry.Phase.LEAVING, upstream.startedMicros()));
-            context.queue.at(ends, now -> {
+                    now -> context.listService.updateEntry(
+                            now, machine, ListEntry.Phase.LEAVING, upstream.startedMicros()));
+            context.queue.scheduleAt(ends, now -> {
                 upstream.kill(now);
                 context.sidecars.get(machine.number()).stop(now);
             });
-            context.queue.at(
+            context.queue.scheduleAt(
                     ends + SimulationContext.toMicros(restarts.downSeconds()), now -> startAgain(now, machine));
         }
     }
 
     private void startAgain(long nowMicros, Topology.Machine machine) {
         context.upstreams.get(machine.number()).start(nowMicros);
-        context.listService.change(nowMicros, machine, ListEntry.Phase.ACTIVE, nowMicros);
+        context.listService.updateEntry(nowMicros, machine, ListEntry.Phase.ACTIVE, nowMicros);
         ModelSidecar sidecar = context.sidecars.get(machine.number());
-        sidecar.start(nowMicros, context.listService.wholeList(machine));
+        sidecar.start(nowMicros, context.listService.fullList(machine));
     }
 
     private void configure(long from, long spreadMicros) {
         List<ModelSidecar> sidecars = context.sidecars;
         for (int i = 0; i < sidecars.size(); i++) {
             ModelSidecar sidecar = sidecars.get(i);
-            context.queue.at(
+            context.queue.scheduleAt(
                     from + spreadMicros * i / sidecars.size(),
                     now -> sidecar.listClient().moveTo(now));
         }
--- a/scale/src/main/java/gradehub/scale/model/Figures.java
+++ b/scale/src/main/java/gradehub/scale/model/Figures.java
@@ -162,7 +162,7 @@
         delays("restored", measurements.restoreDelays);
         delays("configured", measurements.moveDelays);
         long current = context.sidecars.stream()
-                .filter(sidecar -> sidecar.isRunning() && sidecar.listClient().isCurrent())
+                .filter(sidecar -> sidecar.isRunning() && sidecar.listClient().hasActiveWatch())
                 .count();
         add("sidecars-with-watch-at-end", current, "1");
     }
--- a/scale/src/main/java/gradehub/scale/model/ListClient.java
+++ b/scale/src/main/java/gradehub/scale/model/ListClient.java
@@ -32,7 +32,7 @@
     }
 
     /** Whether a list has come from the present list service and the watch stands. */
-    boolean isCurrent() {
+    boolean hasActiveWatch() {
         return watch != null && watch.answered && !lost && movedMicros < 0;
     }
 
@@ -56,11 +56,11 @@
         heardMicros = nowMicros;
         if (context.listService.reaches(sidecar.machine())) {
             long roundTripAndCall = 3 * context.network.listServiceDelayMicros(sidecar.machine());
-            context.queue.at(nowMicros + roundTripAndCall, now -> context.listService.call(now, opened));
-            context.queue.at(nowMicros + SILENCE_MICROS, now -> checkSilence(now, opened));
+            context.queue.scheduleAt(nowMicros + roundTripAndCall, now -> context.listService.call(now, opened));
+            context.queue.scheduleAt(nowMicros + SILENCE_MICROS, now -> checkSilence(now, opened));
         } else {
             double millis = Math.min(CONNECT_MILLIS, context.network.model().connectTimeoutMillis());
-            context.queue.at(
+            context.queue.scheduleAt(
                     nowMicros + Math.round(millis * SimulationContext.MICROS_PER_MILLI), now -> ended(now, opened));
         }
     }
@@ -125,7 +125,7 @@
         if (nowMicros - heardMicros >= SILENCE_MICROS) {
             ended(nowMicros, which);
         } else {
-            context.queue.at(heardMicros + SILENCE_MICROS, now -> checkSilence(now, which));
+            context.queue.scheduleAt(heardMicros + SILENCE_MICROS, now -> checkSilence(now, which));
         }
     }
 
--- a/scale/src/main/java/gradehub/scale/model/ModelUpstream.java
+++ b/scale/src/main/java/gradehub/scale/model/ModelUpstream.java
@@ -146,7 +146,7 @@
             fallen = true;
             context.measurements.coldUpstreamFailed();
             kill(nowMicros);
-            context.listService.noticeLoss(nowMicros, machine);
+            context.listService.scheduleLossDetection(nowMicros, machine);
         }
         return fallen;
     }
@@ -155,7 +155,7 @@
         running++;
         int ofLife = life;
         long duration = Math.max(1, Math.round(workMicros * slowFactor / coldBudget.capacity(nowMicros)));
-        context.queue.at(nowMicros + duration, now -> {
+        context.queue.scheduleAt(nowMicros + duration, now -> {
             if (life == ofLife) {
                 worked(now, attempt);
             }
--- a/scale/src/main/java/gradehub/scale/model/Operation.java
+++ b/scale/src/main/java/gradehub/scale/model/Operation.java
@@ -39,7 +39,7 @@
             ServiceClient client = sidecar.drawClient();
             ApplicationCall call = new ApplicationCall(context, operation, client, deadlineMicros, tries);
             context.measurements.callStarted(nowMicros, sidecar.machine());
-            context.queue.at(nowMicros + delayMicros, call::start);
+            context.queue.scheduleAt(nowMicros + delayMicros, call::start);
         }
     }
 
--- a/scale/src/main/java/gradehub/scale/model/ServiceClient.java
+++ b/scale/src/main/java/gradehub/scale/model/ServiceClient.java
@@ -114,7 +114,7 @@
         long nowMicros = context.queue.nowMicros();
         boolean sent = !exchange.attempts.isEmpty();
         context.measurements.requestAnswered(nowMicros, nowMicros - exchange.deadlineMicros, answer, sent);
-        context.queue.after(context.network.model().localMicros(), now -> exchange.call.answered(now, answer));
+        context.queue.scheduleAfter(context.network.model().localMicros(), now -> exchange.call.answered(now, answer));
     }
 
     private void finish(int request, ApplicationCall.Answer answer) {
@@ -140,10 +140,10 @@
         exchange.attempts.add(attempt);
         exchange.out++;
         if (exchange.over || attempt.number >= maxAttempts || exchange.deadlineMicros <= now) {
-            context.queue.at(now, later -> attemptEnded(later, attempt, Outcome.NOT_SENT));
+            context.queue.scheduleAt(now, later -> attemptEnded(later, attempt, Outcome.NOT_SENT));
             return;
         }
-        context.queue.at(deadline, attempt);
+        context.queue.scheduleAt(deadline, attempt);
         transmit(now, attempt);
     }
 
@@ -152,10 +152,10 @@
         context.measurements.attemptSent(now, target, Network.distance(sidecar.machine(), target));
         if (context.isReachable(sidecar.machine(), target)) {
             long delay = context.delayMicros(sidecar.machine(), target);
-            context.queue.at(now + delay, later -> attempt.upstream.arrive(later, attempt));
+            context.queue.scheduleAt(now + delay, later -> attempt.upstream.arrive(later, attempt));
         } else {
             long timeout = context.network.model().connectTimeoutMillis() * SimulationContext.MICROS_PER_MILLI;
-            context.queue.at(now + timeout, later -> attemptEnded(later, attempt, Outcome.CONNECT_FAILED));
+            context.queue.scheduleAt(now + timeout, later -> attemptEnded(later, attempt, Outcome.CONNECT_FAILED));
         }
     }
 
@@ -164,7 +164,7 @@
         Topology.Machine from = attempt.upstream.machine();
         if (live && !attempt.ended && context.isReachable(sidecar.machine(), from)) {
             long delay = context.delayMicros(sidecar.machine(), from);
-            context.queue.at(nowMicros + delay, now -> attemptEnded(now, attempt, outcome));
+            context.queue.scheduleAt(nowMicros + delay, now -> attemptEnded(now, attempt, outcome));
         }
     }
 
@@ -183,7 +183,7 @@
         Exchange exchange = exchanges.get(request);
         if (exchange != null && attempt >= 0 && attempt < exchange.attempts.size()) {
             Attempt cancelled = exchange.attempts.get(attempt);
-            context.queue.after(0, now -> attemptEnded(now, cancelled, Outcome.CANCELLED));
+            context.queue.scheduleAfter(0, now -> attemptEnded(now, cancelled, Outcome.CANCELLED));
         }
     }
 
@@ -194,7 +194,7 @@
 
     @Override
     public void timer(double delayMs, int token) {
-        context.queue.after((long) Math.ceil(delayMs * SimulationContext.MICROS_PER_MILLI), now -> {
+        context.queue.scheduleAfter((long) Math.ceil(delayMs * SimulationContext.MICROS_PER_MILLI), now -> {
             if (live) {
                 balancer.timer(SimulationContext.toMillis(now), token);
             }
--- a/scale/src/main/java/gradehub/scale/model/Simulation.java
+++ b/scale/src/main/java/gradehub/scale/model/Simulation.java
@@ -40,7 +40,7 @@
 
     private void start() {
         for (ModelSidecar sidecar : context.sidecars) {
-            sidecar.start(0, context.listService.wholeList(sidecar.machine()));
+            sidecar.start(0, context.listService.fullList(sidecar.machine()));
         }
         RootClients.start(context);
         FaultSchedule faults = new FaultSchedule(context);
