--- a/scale/src/main/java/gradehub/scale/model/ColdBudget.java
+++ b/scale/src/main/java/gradehub/scale/model/ColdBudget.java
@@ -25,7 +25,7 @@
         this.model = model;
         this.warmRequestsPerMicro = warmRequestsPerMicro;
         this.coldMicros = model.coldMillis() * SimulationContext.MICROS_PER_MILLI;
-        this.spanMicros = model.overloadMillis() * SimulationContext.MICROS_PER_MILLI;
+        this.spanMicros = model.overloadWindowMillis() * SimulationContext.MICROS_PER_MILLI;
     }
 
     /** A process starts, cold. */
--- a/scale/src/main/java/gradehub/scale/model/ListService.java
+++ b/scale/src/main/java/gradehub/scale/model/ListService.java
@@ -96,7 +96,7 @@
 
     /** A machine has been lost; that shows in the list after a while, unless it has started anew by then. */
     void scheduleLossDetection(long nowMicros, Topology.Machine machine) {
-        context.queue.scheduleAt(nowMicros + model.noticeMillis() * SimulationContext.MICROS_PER_MILLI, now -> {
+        context.queue.scheduleAt(nowMicros + model.lossDetectionMillis() * SimulationContext.MICROS_PER_MILLI, now -> {
             if (!context.upstreams.get(machine.number()).isUp()) {
                 updateEntry(now, machine, ListEntry.Phase.LEFT, entries[machine.number()].startedMicros());
             }
@@ -165,7 +165,7 @@
     }
 
     private ListUpdate answerTo(Watch watch) {
-        boolean changesAlone = watch.revision >= 0 && revision - watch.revision <= model.changesKept();
+        boolean changesAlone = watch.revision >= 0 && revision - watch.revision <= model.retainedRevisions();
         return changesAlone
                 ? new ListUpdate(revision, false, changesSince(watch))
                 : new ListUpdate(revision, true, fullList(watch.machine));
--- a/scale/src/test/java/gradehub/scale/model/CallTreeTest.java
+++ b/scale/src/test/java/gradehub/scale/model/CallTreeTest.java
@@ -65,7 +65,7 @@
     void failuresOfALayerMultiplyAttemptsByNoMoreThanTheBudget(int layer, double part) {
         Experiment small = TestExperiments.small();
         SimulationContext context =
-                play(TestExperiments.with(small, 2, 8, new Fault.UpstreamsFail(1, 9, layer, part, 1)));
+                play(TestExperiments.withFaults(small, 2, 8, new Fault.UpstreamsFail(1, 9, layer, part, 1)));
         assertTrue(context.measurements.outcomes[Outcome.ERROR.ordinal()] > 0, "some fail");
         assertBounded(context);
     }
@@ -75,7 +75,7 @@
     void slownessOfALayerMultipliesAttemptsByNoMoreThanTheBudget(int layer, double part, double factor) {
         Experiment small = TestExperiments.small();
         SimulationContext context =
-                play(TestExperiments.with(small, 2, 8, new Fault.UpstreamsSlow(1, 9, layer, part, factor)));
+                play(TestExperiments.withFaults(small, 2, 8, new Fault.UpstreamsSlow(1, 9, layer, part, factor)));
         assertBounded(context);
     }
 
@@ -83,7 +83,7 @@
     @Test
     void aTenthThatFailsCostsHardlyARootCall() {
         Experiment small = TestExperiments.small();
-        RunResult result = result(TestExperiments.with(small, 3, 10, new Fault.UpstreamsFail(1, 12, 4, 0.1, 1)));
+        RunResult result = result(TestExperiments.withFaults(small, 3, 10, new Fault.UpstreamsFail(1, 12, 4, 0.1, 1)));
         assertTrue(result.figure("root-served-part") > 0.99, "served " + result.figure("root-served-part"));
     }
 
