--- a/scale/src/main/java/gradehub/scale/model/FanOut.java
+++ b/scale/src/main/java/gradehub/scale/model/FanOut.java
@@ -10,35 +10,41 @@
         void ended(long nowMicros, boolean succeeded);
     }
 
-    private final World world;
+    private final SimulationContext context;
     private final SimulatedSidecar sidecar;
     private final int life;
     private final End end;
     private int pending;
     private boolean failed;
 
-    private FanOut(World world, SimulatedSidecar sidecar, End end) {
-        this.world = world;
+    private FanOut(SimulationContext context, SimulatedSidecar sidecar, End end) {
+        this.context = context;
         this.sidecar = sidecar;
         this.life = sidecar.incarnation();
         this.end = end;
     }
 
     /** Begins an operation of the application beside this sidecar. */
-    static void begin(World world, SimulatedSidecar sidecar, long nowMicros, long deadlineMicros, int tries, End end) {
-        FanOut operation = new FanOut(world, sidecar, end);
+    static void begin(
+            SimulationContext context,
+            SimulatedSidecar sidecar,
+            long nowMicros,
+            long deadlineMicros,
+            int tries,
+            End end) {
+        FanOut operation = new FanOut(context, sidecar, end);
         operation.pending = sidecar.drawCalls();
         if (operation.pending == 0) {
             end.ended(nowMicros, true);
             return;
         }
-        long delayMicros = world.network.model().localMicros();
+        long delayMicros = context.network.model().localMicros();
         int calls = operation.pending;
         for (int i = 0; i < calls; i++) {
             ServiceClient client = sidecar.drawClient();
-            ApplicationCall call = new ApplicationCall(world, operation, client, deadlineMicros, tries);
-            world.measurements.called(nowMicros, sidecar.machine());
-            world.queue.scheduleAt(nowMicros + delayMicros, call::start);
+            ApplicationCall call = new ApplicationCall(context, operation, client, deadlineMicros, tries);
+            context.measurements.callStarted(nowMicros, sidecar.machine());
+            context.queue.scheduleAt(nowMicros + delayMicros, call::start);
         }
     }
 
--- a/scale/src/main/java/gradehub/scale/model/FaultSchedule.java
+++ b/scale/src/main/java/gradehub/scale/model/FaultSchedule.java
@@ -11,20 +11,20 @@
 final class FaultSchedule {
 
     /** A machine that is to be restarted is listed as leaving for so long before its process ends. */
-    private static final long DRAIN_MICROS = World.MICROS_PER_SECOND;
+    private static final long DRAIN_MICROS = SimulationContext.MICROS_PER_SECOND;
 
-    private final World world;
+    private final SimulationContext context;
     private final Random random;
 
-    FaultSchedule(World world) {
-        this.world = world;
-        this.random = new Random(world.newRandom().nextLong());
+    FaultSchedule(SimulationContext context) {
+        this.context = context;
+        this.random = new Random(context.newRandom().nextLong());
     }
 
     /** Schedules a fault. */
     void add(Fault fault) {
-        long from = World.micros(fault.startSeconds());
-        long until = World.micros(fault.startSeconds() + fault.durationSeconds());
+        long from = SimulationContext.toMicros(fault.startSeconds());
+        long until = SimulationContext.toMicros(fault.startSeconds() + fault.durationSeconds());
         if (fault instanceof Fault.UpstreamsFail fail) {
             onPart(
                     from,
@@ -43,12 +43,12 @@
         } else if (fault instanceof Fault.ZoneLost lost) {
             lose(from, until, inZone(lost.zone()));
         } else if (fault instanceof Fault.RegionPartitioned parted) {
-            int region = world.topology.regions.indexOf(parted.region());
-            world.queue.scheduleAt(from, now -> world.network.part(region));
-            world.queue.scheduleAt(until, now -> world.network.join(now, region));
+            int region = context.topology.regions.indexOf(parted.region());
+            context.queue.scheduleAt(from, now -> context.network.isolateRegion(region));
+            context.queue.scheduleAt(until, now -> context.network.reconnectRegion(now, region));
         } else if (fault instanceof Fault.ListServiceDown) {
-            world.queue.scheduleAt(from, world.listService::startOutage);
-            world.queue.scheduleAt(until, world.listService::endOutage);
+            context.queue.scheduleAt(from, context.listService::startOutage);
+            context.queue.scheduleAt(until, context.listService::endOutage);
         } else if (fault instanceof Fault.ConfigurationChange) {
             configure(from, until - from);
         }
@@ -63,39 +63,39 @@
             ObjDoubleConsumer<SimulatedUpstream> setting,
             double faulty,
             double sound) {
-        for (Topology.Service service : world.topology.layer(layer)) {
+        for (Topology.Service service : context.topology.servicesInLayer(layer)) {
             List<Topology.Machine> machines = new ArrayList<>(service.machines());
             Collections.shuffle(machines, random);
             int count = (int) Math.floor(part * machines.size() + random.nextDouble());
             for (Topology.Machine machine : machines.subList(0, Math.min(count, machines.size()))) {
-                SimulatedUpstream upstream = world.upstreams.get(machine.number());
-                world.queue.scheduleAt(from, now -> setting.accept(upstream, faulty));
-                world.queue.scheduleAt(until, now -> setting.accept(upstream, sound));
+                SimulatedUpstream upstream = context.upstreams.get(machine.number());
+                context.queue.scheduleAt(from, now -> setting.accept(upstream, faulty));
+                context.queue.scheduleAt(until, now -> setting.accept(upstream, sound));
             }
         }
     }
 
     private List<Topology.Machine> drawn(int count) {
-        List<Topology.Machine> machines = new ArrayList<>(world.topology.machines);
+        List<Topology.Machine> machines = new ArrayList<>(context.topology.machines);
         Collections.shuffle(machines, random);
         return machines.subList(0, Math.min(count, machines.size()));
     }
 
     private List<Topology.Machine> inZone(String name) {
-        return world.topology.machines.stream()
+        return context.topology.machines.stream()
                 .filter(machine ->
-                        world.topology.zones.get(machine.zone()).name().equals(name))
+                        context.topology.zones.get(machine.zone()).name().equals(name))
                 .toList();
     }
 
     private void lose(long from, long until, List<Topology.Machine> machines) {
         for (Topology.Machine machine : machines) {
-            world.queue.scheduleAt(from, now -> {
-                world.upstreams.get(machine.number()).loseMachine();
-                world.sidecars.get(machine.number()).stop(now);
-                world.listService.scheduleLossDetection(now, machine);
+            context.queue.scheduleAt(from, now -> {
+                context.upstreams.get(machine.number()).loseMachine();
+                context.sidecars.get(machine.number()).stop(now);
+                context.listService.scheduleLossDetection(now, machine);
             });
-            world.queue.scheduleAt(until, now -> startAgain(now, machine));
+            context.queue.scheduleAt(until, now -> startAgain(now, machine));
         }
     }
 
@@ -103,33 +103,34 @@
         List<Topology.Machine> machines = drawn(restarts.count());
         for (int i = 0; i < machines.size(); i++) {
             Topology.Machine machine = machines.get(i);
-            SimulatedUpstream upstream = world.upstreams.get(machine.number());
+            SimulatedUpstream upstream = context.upstreams.get(machine.number());
             long leaves = from + spreadMicros * i / machines.size();
             long ends = leaves + DRAIN_MICROS;
-            world.queue.scheduleAt(
+            context.queue.scheduleAt(
                     leaves,
-                    now -> world.listService.updateEntry(
+                    now -> context.listService.updateEntry(
                             now, machine, ListEntry.Phase.LEAVING, upstream.startedMicros()));
-            world.queue.scheduleAt(ends, now -> {
+            context.queue.scheduleAt(ends, now -> {
                 upstream.kill(now);
-                world.sidecars.get(machine.number()).stop(now);
+                context.sidecars.get(machine.number()).stop(now);
             });
-            world.queue.scheduleAt(ends + World.micros(restarts.downSeconds()), now -> startAgain(now, machine));
+            context.queue.scheduleAt(
+                    ends + SimulationContext.toMicros(restarts.downSeconds()), now -> startAgain(now, machine));
         }
     }
 
     private void startAgain(long nowMicros, Topology.Machine machine) {
-        world.upstreams.get(machine.number()).start(nowMicros);
-        world.listService.updateEntry(nowMicros, machine, ListEntry.Phase.ACTIVE, nowMicros);
-        SimulatedSidecar sidecar = world.sidecars.get(machine.number());
-        sidecar.start(nowMicros, world.listService.fullList(machine));
+        context.upstreams.get(machine.number()).start(nowMicros);
+        context.listService.updateEntry(nowMicros, machine, ListEntry.Phase.ACTIVE, nowMicros);
+        SimulatedSidecar sidecar = context.sidecars.get(machine.number());
+        sidecar.start(nowMicros, context.listService.fullList(machine));
     }
 
     private void configure(long from, long spreadMicros) {
-        List<SimulatedSidecar> sidecars = world.sidecars;
+        List<SimulatedSidecar> sidecars = context.sidecars;
         for (int i = 0; i < sidecars.size(); i++) {
             SimulatedSidecar sidecar = sidecars.get(i);
-            world.queue.scheduleAt(
+            context.queue.scheduleAt(
                     from + spreadMicros * i / sidecars.size(),
                     now -> sidecar.listClient().moveTo(now));
         }
