--- a/scale/src/test/java/gradehub/scale/model/ColdReturnTest.java
+++ b/scale/src/test/java/gradehub/scale/model/ColdReturnTest.java
@@ -22,10 +22,11 @@
     @ParameterizedTest
     @CsvSource({"1, 4, 0.5", "1, 2.5, 0.7", "1, 1.5, 0.7", "2, 1.5, 0.7", "3, 1.5, 0.7"})
     void aZoneThatReturnsToAFleetOf120IsNotPushedOver(long seed, double overloadFactor, double utilisation) {
-        Experiment small = TestExperiments.small().atSize(120).withSeed(seed);
+        Experiment small = TestExperiments.small().scaledTo(120).withSeed(seed);
         UpstreamModel upstream = new UpstreamModel(2, 64, 1, 0.12, 24_000, overloadFactor, 2000);
         Experiment fleet = TestExperiments.withUpstreams(small, upstream, utilisation);
-        RunResult result = new Simulation(TestExperiments.with(fleet, 3, 40, new Fault.ZoneLost(3, 10, "north-2")))
+        RunResult result = new Simulation(
+                        TestExperiments.withFaults(fleet, 3, 40, new Fault.ZoneLost(3, 10, "north-2")))
                 .run((seconds, calls) -> true);
         assertEquals(0, result.figure("cold-falls"));
         assertTrue(result.figure("cold-attempts") > 1000, "cold upstreams are sent something");
@@ -34,7 +35,7 @@
 
     @Test
     void anUpstreamCanTakeItsBudgetWithSlackForChanceAndNoMore() {
-        ColdBudget budget = new ColdBudget(MODEL, 0.0001); // 100 a second when warm
+        ColdStart budget = new ColdStart(MODEL, 0.0001); // 100 a second when warm
         budget.start(1_000_000);
         assertTrue(budget.isCold(20_999_999));
         assertFalse(budget.isCold(21_000_000));
@@ -56,13 +57,13 @@
     @Test
     void upstreamsThatCanTakeAlmostNothingFallAndStayDown() {
         UpstreamModel frail = new UpstreamModel(2, 64, 1, 0.01, 20_000, 0.1, 2000);
-        Experiment small = TestExperiments.withUpstreams(TestExperiments.small().atSize(120), frail, 0.5);
-        Experiment experiment = TestExperiments.with(small, 3, 30, new Fault.ZoneLost(3, 5, "north-2"));
-        World world = new World(experiment);
-        RunResult result = new Simulation(world).run((seconds, calls) -> true);
+        Experiment small = TestExperiments.withUpstreams(TestExperiments.small().scaledTo(120), frail, 0.5);
+        Experiment experiment = TestExperiments.withFaults(small, 3, 30, new Fault.ZoneLost(3, 5, "north-2"));
+        SimulationContext context = new SimulationContext(experiment);
+        RunResult result = new Simulation(context).run((seconds, calls) -> true);
         assertTrue(result.figure("cold-falls") > 0);
         assertEquals(
                 result.figure("cold-falls"),
-                world.upstreams.stream().filter(upstream -> !upstream.isUp()).count());
+                context.upstreams.stream().filter(upstream -> !upstream.isUp()).count());
     }
 }
--- a/scale/src/test/java/gradehub/scale/model/SimulationTest.java
+++ b/scale/src/test/java/gradehub/scale/model/SimulationTest.java
@@ -29,13 +29,13 @@
         new Fault.MachinesLost(3.2, 2, 3),
         new Fault.Restarts(3, 3, 5, 0.5),
         new Fault.ZoneLost(4, 2, "south-2"),
-        new Fault.RegionParted(5, 1, "south"),
+        new Fault.RegionPartitioned(5, 1, "south"),
         new Fault.ListServiceDown(3.1, 1.5),
         new Fault.ConfigurationChange(5.5, 1)
     };
 
     private static Experiment withAllFaults() {
-        return TestExperiments.with(TestExperiments.small(), 3, 5, ALL_FAULTS);
+        return TestExperiments.withFaults(TestExperiments.small(), 3, 5, ALL_FAULTS);
     }
 
     private static RunResult run(Experiment experiment) {
@@ -66,17 +66,17 @@
 
     @Test
     void theFleetHasItsSizesAndEachServiceHasACaller() {
-        Experiment experiment = TestExperiments.small().atSize(750);
-        Topology topology = new World(experiment).topology;
+        Experiment experiment = TestExperiments.small().scaledTo(750);
+        Topology topology = new SimulationContext(experiment).topology;
         assertEquals(750, topology.machines.size());
         for (Topology.Service service : topology.services) {
             int size = service.machines().size();
             assertTrue(size >= 3 && size <= 8, size + " upstreams");
-            assertEquals(service.layer() > 0, service.callers() > 0);
-            assertEquals(service.layer() < 7, !service.called().isEmpty());
+            assertEquals(service.layer() > 0, service.callerCount() > 0);
+            assertEquals(service.layer() < 7, !service.callees().isEmpty());
         }
-        double leaves = topology.layer(7).stream()
-                .mapToDouble(Topology.Service::planned)
+        double leaves = topology.servicesInLayer(7).stream()
+                .mapToDouble(Topology.Service::plannedRate)
                 .sum();
         assertEquals(experiment.calls().rootCallsPerSecond(), leaves, 1e-6);
     }
@@ -99,7 +99,7 @@
             case 2 -> new Fault.MachinesLost(at, lasting, 10);
             case 3 -> new Fault.Restarts(at, lasting, 12, lasting / 4);
             case 4 -> new Fault.ZoneLost(at, lasting, "north-1");
-            case 5 -> new Fault.RegionParted(at, lasting, "north");
+            case 5 -> new Fault.RegionPartitioned(at, lasting, "north");
             case 6 -> new Fault.ListServiceDown(at, lasting);
             default -> new Fault.ConfigurationChange(at, lasting);
         };
@@ -109,13 +109,15 @@
     @Property(tries = 25, seed = "20", shrinking = ShrinkingMode.OFF)
     void whateverHappensEachCallIsAnsweredInTime(@ForAll("faults") List<Fault> faults, @ForAll long seed) {
         Experiment small = TestExperiments.withRate(TestExperiments.small(), 150);
-        Experiment experiment =
-                TestExperiments.with(small, 0, 8, faults.toArray(new Fault[0])).withSeed(seed);
-        World world = new World(experiment);
-        new Simulation(world).run((seconds, calls) -> true);
-        Measurements counted = world.measurements;
+        Experiment experiment = TestExperiments.withFaults(small, 0, 8, faults.toArray(new Fault[0]))
+                .withSeed(seed);
+        SimulationContext context = new SimulationContext(experiment);
+        new Simulation(context).run((seconds, calls) -> true);
+        Measurements counted = context.measurements;
         assertEquals(0, counted.lateAnswers);
-        long restarts = world.sidecars.stream().mapToInt(ModelSidecar::life).sum();
+        long restarts = context.sidecars.stream()
+                .mapToInt(SimulatedSidecar::incarnation)
+                .sum();
         long outAtTheEnd = counted.rootOffered - counted.rootServed - counted.rootFailed;
         double mostOut = 150 * 2.1 + restarts * 30;
         assertTrue(outAtTheEnd >= 0 && outAtTheEnd <= mostOut, outAtTheEnd + " of " + counted.rootOffered);
