--- a/sidecar/src/main/java/gradehub/node/ClientListener.java
+++ b/sidecar/src/main/java/gradehub/node/ClientListener.java
@@ -11,46 +11,48 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.IntSupplier;
 
-/** Listener that accepts clients as {@link ReadAheadChannel}s and resumes shortly after a failed accept. */
+/** Listening channel that accepts clients as {@link ReadAheadChannel}s and pauses briefly after a failed accept. */
 final class ClientListener extends NioServerSocketChannel {
 
-    /** Delay after a failed accept: a lack of descriptors, for example, would make an immediate retry fail again. */
+    /** Pause after a failed accept: an immediate retry would fail too, for example if descriptors have run out. */
     private static final long ACCEPT_RETRY_MS = 10;
 
-    private final IntSupplier room;
+    /** Returns how many more clients may be connected. */
+    private final IntSupplier remainingClients;
+
     private final Runnable resumeTask =
-            this::resume; // created once: linking it on first use would delay waiting clients
-    private final RateLimitedLog failures = new RateLimitedLog();
+            this::resume; // created up front: linking the lambda on first use would delay clients
+    private final RateLimitedLog acceptFailureLog = new RateLimitedLog();
 
     private boolean paused;
-    /** Accepted connection whose setup failed and is to be retried. */
+    /** An accepted connection whose setup has failed and is to be retried, or null. */
     private SocketChannel pendingSetup;
     /** Set when the channel is registered with an event loop. */
     private RegistrationMonitor registrationMonitor;
-    /** Whether the current accept was not triggered by the selector. */
-    private boolean checkingUnreported;
-    /** Whether such an accept found a client that the selector had not reported. */
+    /** Whether the accept in progress checks for clients that the selector has not reported. */
+    private boolean checkingForUnreported;
+    /** Whether such a check has accepted a client. */
     private boolean acceptedUnreported;
 
-    /** Accepts at most {@code room} clients at once. */
-    ClientListener(IntSupplier room) {
-        this.room = room;
+    /** Creates a listener that accepts at most {@code remainingClients} clients at once. */
+    ClientListener(IntSupplier remainingClients) {
+        this.remainingClients = remainingClients;
     }
 
-    /** Accepts all pending clients at once: the others would wait for the next event loop iteration. */
+    /** Accepts all pending clients within the limit: any left would wait for the next iteration of the event loop. */
     @Override
     protected int doReadMessages(List<Object> accepted) {
         int before = accepted.size();
-        if (!checkingUnreported) {
+        if (!checkingForUnreported) {
             registrationMonitor.readReadinessReported();
         }
         try {
-            accept(accepted, Math.max(1, room.getAsInt()));
+            accept(accepted, Math.max(1, remainingClients.getAsInt()));
         } catch (IOException | ChannelException e) {
-            failures.warn("can't accept: " + e.getMessage());
+            acceptFailureLog.warn("can't accept client connections: " + e.getMessage());
             pause();
         }
-        acceptedUnreported |= checkingUnreported && accepted.size() > before;
+        acceptedUnreported |= checkingForUnreported && accepted.size() > before;
         return accepted.size() - before;
     }
 
@@ -69,22 +71,22 @@
         }
     }
 
-    /** Accepts pending clients that the selector has not reported. */
+    /** Accepts pending clients that the selector has not reported; if there were any, renews the registration. */
     private void check(NioIoOps interest) {
-        checkingUnreported = true;
+        checkingForUnreported = true;
         acceptedUnreported = false;
         try {
             unsafe().read();
         } finally {
-            checkingUnreported = false;
+            checkingForUnreported = false;
         }
         if (acceptedUnreported) {
             registrationMonitor.renew("accepting");
         }
     }
 
-    private void accept(List<Object> accepted, int most) throws IOException {
-        for (int count = 0; count < most; count++) {
+    private void accept(List<Object> accepted, int max) throws IOException {
+        for (int count = 0; count < max; count++) {
             if (pendingSetup == null) {
                 pendingSetup = javaChannel().accept();
             }
@@ -109,32 +111,33 @@
         updateAccepting();
     }
 
+    /** Starts or stops accepting, depending on whether more clients may be connected. */
     void updateAccepting() {
-        boolean accepts = !paused && room.getAsInt() > 0;
-        config().setAutoRead(accepts);
-        if (accepts && pendingSetup != null) {
+        boolean accepting = !paused && remainingClients.getAsInt() > 0;
+        config().setAutoRead(accepting);
+        if (accepting && pendingSetup != null) {
             acceptPending(1); // the selector does not report a connection that is already accepted
         }
     }
 
     /**
-     * Accepts up to {@code most} pending connections: closing the listener would reset them and discard what they have
-     * sent. Returns false if an accept failed, so that some may still be pending.
+     * Accepts up to {@code max} pending connections, which would be reset, and lose what they have sent, when the
+     * listener closes. Returns false if an accept failed, so that some may still be pending.
      */
-    boolean acceptPending(int most) {
-        boolean accepts = true;
-        List<Object> waiting = new ArrayList<>();
+    boolean acceptPending(int max) {
+        boolean succeeded = true;
+        List<Object> accepted = new ArrayList<>();
         try {
-            accept(waiting, most);
+            accept(accepted, max);
         } catch (IOException | ChannelException e) {
-            failures.warn("can't accept pending connections: " + e.getMessage());
-            accepts = false;
+            acceptFailureLog.warn("can't accept pending client connections: " + e.getMessage());
+            succeeded = false;
             pause();
         }
-        for (Object client : waiting) {
+        for (Object client : accepted) {
             pipeline().fireChannelRead(client);
         }
-        return accepts;
+        return succeeded;
     }
 
     @Override
