--- a/sidecar/src/main/java/gradehub/node/Discovery.java
+++ b/sidecar/src/main/java/gradehub/node/Discovery.java
@@ -31,20 +31,20 @@
 import java.util.function.Supplier;
 
 /**
- * Client of the discovery service, which provides the list of upstreams. In push mode a watch is kept open at all
- * times; in polling mode the balancer decides when to fetch. Each full list or delta is passed to the engine as soon as
- * it has been parsed.
+ * Client of the discovery service, which provides the list of upstreams. In push mode it keeps a watch open and reopens
+ * it after a close; in polling mode the balancer decides when to fetch the list. Each full list or delta is passed to
+ * the engine as soon as it has been parsed.
  */
 final class Discovery implements Engine.ListSource {
 
     private static final System.Logger LOG = System.getLogger("gradehub");
     private static final String LIST_PATH = "/v1/endpoints";
-    private static final long MAX_IDLE_MS = (long) DiscoveryTimeouts.IDLE_TIMEOUT_MS;
+    private static final long IDLE_TIMEOUT_MS = (long) DiscoveryTimeouts.IDLE_TIMEOUT_MS;
     private static final long INITIAL_RECONNECT_DELAY_MS = 50;
     private static final long MAX_RECONNECT_DELAY_MS = 1000;
     /**
      * Limits the reconnect delay to this fraction of the grace period for drains. The period starts when discovery
-     * reports a drain, which may be the moment it recovers.
+     * reports a drain, which may be as soon as discovery recovers from an outage.
      */
     private static final double RECONNECT_DELAY_FRACTION = 0.5;
 
@@ -57,22 +57,22 @@
     private final Supplier<ReadAheadChannel> sockets;
     private final Engine engine;
     private final RateLimitedLog closeLog = new RateLimitedLog();
-    /** Revision of the latest list from this address, or -1. Another address may number its revisions differently. */
+    /** Revision of the latest list from this address, or -1. Each address may number its revisions differently. */
     private long revision = -1;
 
-    /** Released when the first list arrives from discovery itself, as opposed to the configuration. */
+    /** Released when discovery sends its first list; the list in the configuration does not count. */
     private final CountDownLatch firstList = new CountDownLatch(1);
 
     /**
-     * When a list, or any data on a connection that had delivered one, was last received. Unset while {@link #heard} is
-     * false.
+     * When a list, or any data on a connection that had delivered one, was last received. Unset while {@link #received}
+     * is false.
      */
-    private long lastHeardNanos;
+    private long lastReceivedNanos;
 
-    private boolean heard;
+    private boolean received;
     private boolean listReceived;
     private boolean watching;
-    private Call watch;
+    private ListRequest watch;
     private long reconnectDelayMs;
 
     Discovery(EventLoop loop, Config config, Supplier<ReadAheadChannel> sockets, Engine engine) {
@@ -87,12 +87,12 @@
         this.engine = engine;
     }
 
-    /** Returns the delay before the watch would be reopened if it closed now. */
+    /** Returns the delay after which the watch would be reopened if it closed now. */
     long reconnectDelayMs() {
         return reconnectDelayMs;
     }
 
-    /** Starts from the last known list in the configuration, which may be stale or missing. */
+    /** Applies the last known list from the configuration, if any; it may be stale. In push mode, opens the watch. */
     void start(Config config) {
         if (config.known().isObject()) {
             try {
@@ -111,8 +111,8 @@
     }
 
     /**
-     * Blocks until discovery has sent a list or the timeout expires. Must not be called on the event loop. The list in
-     * the configuration may name upstreams that were removed while the sidecar was down.
+     * Blocks until discovery has sent a list or the timeout expires: the list in the configuration may name upstreams
+     * that were removed while the sidecar was down. Must not be called on the event loop.
      */
     void awaitList(long timeoutMs) throws InterruptedException {
         if (firstList.getCount() == 0) {
@@ -124,20 +124,21 @@
         }
     }
 
+    /** Whether a list has been applied, from discovery or from the configuration. */
     boolean hasList() {
         return listReceived;
     }
 
     /**
      * Switches to another discovery address. An open watch is replaced by one that requests the full list; the current
-     * list stays in use until that arrives. Data in flight from the old address is dropped, since it may be stale.
+     * list stays in use until the new one arrives. Data in flight from the old address may be stale and is discarded.
      */
-    void changeAddress(InetSocketAddress other) {
-        if (other.equals(address)) {
+    void changeAddress(InetSocketAddress newAddress) {
+        if (newAddress.equals(address)) {
             return;
         }
-        LOG.log(System.Logger.Level.INFO, "discovery address changed to " + other);
-        address = other;
+        LOG.log(System.Logger.Level.INFO, "discovery address changed to " + newAddress);
+        address = newAddress;
         revision = -1;
         reconnectDelayMs = 0;
         if (watching) {
@@ -149,43 +150,43 @@
     public void subscribe(boolean on) {
         watching = on;
         if (watch != null) {
-            Call old = watch;
+            ListRequest old = watch;
             watch = null;
             old.close();
         }
         if (on) {
-            watch = new Call(true);
+            watch = new ListRequest(true);
         }
     }
 
     @Override
     public void fetch() {
-        new Call(false);
+        new ListRequest(false);
     }
 
     private void apply(Update update, ListKind kind) {
         listReceived = true;
-        double silentMs = heard ? (System.nanoTime() - lastHeardNanos) / 1e6 : Double.POSITIVE_INFINITY;
+        double silentMs = received ? (System.nanoTime() - lastReceivedNanos) / 1e6 : Double.POSITIVE_INFINITY;
         engine.upstreams(kind, update, silentMs);
     }
 
-    private void markHeard() {
-        heard = true;
-        lastHeardNanos = System.nanoTime();
+    private void recordReceipt() {
+        received = true;
+        lastReceivedNanos = System.nanoTime();
     }
 
-    private void onClosed(Call call) {
-        if (call.watch && call != watch) {
-            return; // replaced or unsubscribed
+    private void onClosed(ListRequest closed) {
+        if (closed.watch && closed != watch) {
+            return; // the watch was replaced or cancelled
         }
-        if (call.watch) {
+        if (closed.watch) {
             watch = null;
         }
         if (polling) {
-            if (call.watch || !call.deliveredList) {
+            if (closed.watch || !closed.deliveredList) {
                 engine.listFailed();
             }
-        } else if (call.watch && watching) {
+        } else if (closed.watch && watching) {
             loop.schedule(this::reopenWatch, reconnectDelayMs, TimeUnit.MILLISECONDS);
             reconnectDelayMs =
                     Math.min(maxReconnectDelayMs, Math.max(INITIAL_RECONNECT_DELAY_MS, 2 * reconnectDelayMs));
@@ -194,29 +195,29 @@
 
     private void reopenWatch() {
         if (watching && watch == null) {
-            watch = new Call(true);
+            watch = new ListRequest(true);
         }
     }
 
-    /** One connection to discovery, used for a watch or for a single fetch of the full list. */
-    private final class Call extends SimpleChannelInboundHandler<HttpObject> {
+    /** A request to discovery on a connection of its own: a watch or a single fetch of the full list. */
+    private final class ListRequest extends SimpleChannelInboundHandler<HttpObject> {
         private final boolean watch;
         private final ListStream lists;
         private final InetSocketAddress target = address;
         private final ReadAheadChannel channel;
         private final Runnable closeTask =
                 () -> onClosed(this); // created up front: linking the lambda on first use would delay requests
-        private long heardNanos = System.nanoTime();
+        private long lastInputNanos = System.nanoTime();
         private boolean deliveredList;
-        /** Reason for the close, for the log. The default applies if discovery closes the connection. */
-        private String closeReason = "closed by discovery";
+        /** Reason for the close, for the log. The initial value applies if discovery closes the connection. */
+        private String closeReason = "closed by peer";
 
-        private Call(boolean watch) {
+        private ListRequest(boolean watch) {
             this.watch = watch;
             this.lists = new ListStream(this::onList);
             this.channel = openSocket();
             if (channel == null) {
-                loop.execute(closeTask); // deferred until the watch field refers to this call
+                loop.execute(closeTask); // deferred until the outer watch field refers to this request
                 return;
             }
             ChannelFuture connecting = new Bootstrap()
@@ -225,14 +226,14 @@
                     .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, connectTimeoutMs))
                     .handler(new ChannelInitializer<Channel>() {
                         @Override
-                        protected void initChannel(Channel made) {
-                            made.pipeline().addLast(new HttpClientCodec(), Call.this);
+                        protected void initChannel(Channel created) {
+                            created.pipeline().addLast(new HttpClientCodec(), ListRequest.this);
                         }
                     })
                     .connect(target);
             connecting.addListener(connected -> {
                 if (connected.isSuccess()) {
-                    sendRequest();
+                    send();
                 } else {
                     closeReason = "connect failed: " + connected.cause().getMessage();
                 }
@@ -241,7 +242,7 @@
                 closeLog.warn("connection to discovery at " + target + " closed: " + closeReason);
                 closeTask.run();
             });
-            checkSilence();
+            checkIdleTimeout();
         }
 
         /** Returns a new socket, or null if none can be opened, for example for lack of file descriptors. */
@@ -249,7 +250,7 @@
             try {
                 return sockets.get();
             } catch (ChannelException e) {
-                closeLog.warn("cannot open a socket for discovery: " + e.getMessage());
+                closeLog.warn("can't open a socket for discovery: " + e.getMessage());
                 return null;
             }
         }
@@ -260,12 +261,12 @@
             }
         }
 
-        private void close(String why) {
-            closeReason = why;
+        private void close(String reason) {
+            closeReason = reason;
             channel.close();
         }
 
-        private void sendRequest() {
+        private void send() {
             String from = revision >= 0 ? "&from=" + revision : "";
             DefaultFullHttpRequest request = new DefaultFullHttpRequest(
                     HttpVersion.HTTP_1_1,
@@ -276,30 +277,30 @@
             channel.writeAndFlush(request);
         }
 
-        private void checkSilence() {
-            long silentMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - heardNanos);
-            if (silentMs >= MAX_IDLE_MS && channel.isOpenWithoutInput()) {
-                close("no data for " + silentMs + " ms");
+        private void checkIdleTimeout() {
+            long idleMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - lastInputNanos);
+            if (idleMs >= IDLE_TIMEOUT_MS && channel.isOpenWithoutInput()) {
+                close("no data for " + idleMs + " ms");
             } else if (channel.isOpen()) {
-                loop.schedule(this::checkSilence, Math.max(1, MAX_IDLE_MS - silentMs), TimeUnit.MILLISECONDS);
+                loop.schedule(this::checkIdleTimeout, Math.max(1, IDLE_TIMEOUT_MS - idleMs), TimeUnit.MILLISECONDS);
             }
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext context, HttpObject message) {
-            heardNanos = System.nanoTime();
+            lastInputNanos = System.nanoTime();
             if (message.decoderResult().isFailure()
                     || message instanceof HttpResponse response
                             && !response.status().equals(HttpResponseStatus.OK)) {
                 close(
                         message instanceof HttpResponse response
                                 ? "status " + response.status()
-                                : "invalid HTTP response");
+                                : "malformed HTTP response");
                 return;
             }
             if (message instanceof HttpContent content) {
                 if (content.content().isReadable()) {
-                    reconnectDelayMs = 0; // discovery responds: reopen the watch without delay after the next close
+                    reconnectDelayMs = 0; // discovery answers: the watch is reopened at once after the next close
                 }
                 read(content);
             }
@@ -311,16 +312,15 @@
                 if (!isStale()) {
                     lists.read(content.content());
                     if (deliveredList) {
-                        markHeard();
+                        recordReceipt();
                     }
                     if (last && !lists.isComplete()) {
-                        throw new IOException("answer ends within a JSON object");
+                        throw new IOException("the answer ends in the middle of a JSON object");
                     }
                 }
             } catch (IOException | IllegalArgumentException e) {
                 LOG.log(System.Logger.Level.WARNING, "invalid list from discovery: " + e.getMessage());
-                reconnectDelayMs =
-                        MAX_RECONNECT_DELAY_MS; // an immediate retry would most likely receive the same data again
+                reconnectDelayMs = MAX_RECONNECT_DELAY_MS; // an early retry would most likely receive the same data
                 last = true;
             }
             if (last) {
@@ -328,7 +328,7 @@
             }
         }
 
-        /** Whether its data may be stale: another watch has replaced it, or discovery has moved. */
+        /** Whether its data may be stale: another watch has replaced it, or the discovery address has changed. */
         private boolean isStale() {
             return watch && this != Discovery.this.watch || !target.equals(address);
         }
