--- a/sidecar/src/main/java/gradehub/node/ClientConnection.java
+++ b/sidecar/src/main/java/gradehub/node/ClientConnection.java
@@ -19,41 +19,50 @@
 import java.util.ArrayDeque;
 import java.util.Locale;
 
-/** A client connection: reads requests, writes their answers in request order, and closes gracefully. */
+/** A client connection: reads pipelined requests, writes their answers in request order, and closes gracefully. */
 final class ClientConnection extends SimpleChannelInboundHandler<FullHttpRequest> implements RequestDecoder.Input {
 
     private static final System.Logger LOG = System.getLogger("gradehub");
-    /** Limit from the first to the last byte of a request; for the first request it counts from connecting. */
-    private static final double REQUEST_MS = 2200;
-    /** The same limit during shutdown: requests being received are still awaited, but only briefly. */
+    /** Time limit from the first to the last byte of a request; counts from connecting for the first request. */
+    private static final double REQUEST_TIMEOUT_MS = 2200;
+    /** The same limit during shutdown: requests being received are still awaited, but for less time. */
     static final double SHUTDOWN_REQUEST_TIMEOUT_MS = 500;
-    /** Limit for the first byte when sockets run short: clients normally connect in order to send at once. */
-    private static final double SILENT_MS = 250;
-    /** A connection without a request may be closed after being idle for this long. */
-    private static final double IDLE_MS = 2000;
-    /** Limit for the client to read an answer. */
-    private static final double READ_MS = 5000;
-    /** How long input is read after the last answer: closing with unread input would reset it, losing an error answer. */
+    /** Time limit for the first byte when sockets run short: clients normally send as soon as they are connected. */
+    private static final double FIRST_BYTE_TIMEOUT_MS = 250;
+    /** When sockets run short, a connection may be closed after being idle for this long. */
+    private static final double IDLE_TIMEOUT_MS = 2000;
+    /** Time limit for the client to read an answer. */
+    private static final double ANSWER_READ_TIMEOUT_MS = 5000;
+    /**
+     * How long input is read and discarded after the last answer: closing with unread input resets the connection, and
+     * the client may lose an error answer.
+     */
     static final double DRAIN_TIMEOUT_MS = 500;
 
-    private static final int DRAIN_BYTES = 1 << 18;
+    /** Bytes of input after which draining ends with an immediate close. */
+    private static final int MAX_DRAIN_BYTES = 1 << 18;
     /** Number of pending requests at which reading pauses. */
-    private static final int MAX_PENDING = 4;
+    private static final int MAX_PENDING_REQUESTS = 4;
 
     private final ReadAheadChannel channel;
     private final ClientServer server;
     private final ArrayDeque<PendingAnswer> pending = new ArrayDeque<>();
-    /** When the client became idle, began to send, and stopped reading, in the order of the fields; 0 if not the case. */
+    /** When the connection became idle, or 0 while it is not. */
     private double idleSinceMs;
-
+    /** When the request being received began, or 0 if there is none. */
     private double receivingSinceMs;
+    /** When the pending writes last made progress, or 0 if there are none. */
     private double writingSinceMs;
+    /** When the output was shut down, or 0 before that. */
     private double drainingSinceMs;
+
     private double openedMs;
-    private double openedLagMs;
+    private double lagAtOpenMs;
     private int pendingWrites;
     private int drainedBytes;
-    private boolean silent = true;
+    /** Whether the client has sent nothing yet. */
+    private boolean nothingReceived = true;
+    /** Whether any request has been answered. */
     private boolean answered;
     /** Whether further input is discarded instead of being decoded as requests. */
     private boolean discarding;
@@ -65,7 +74,7 @@
         this.server = server;
     }
 
-    /** A request on this connection and, once available, its answer. */
+    /** A request whose answer has not been sent, and the answer once it is available. */
     private final class PendingAnswer implements Engine.Client {
         private boolean keepAlive;
         private String id;
@@ -102,7 +111,7 @@
             flushAnswers();
         }
 
-        /** Allows the identifier to be used again. */
+        /** Releases the request's identifier, so that another request may use it. */
         private void release() {
             if (id != null) {
                 server.releaseId(id);
@@ -121,22 +130,22 @@
     @Override
     public void channelActive(ChannelHandlerContext context) {
         openedMs = server.nowMs();
-        openedLagMs = server.lagMs();
+        lagAtOpenMs = server.lagMs();
         receivingSinceMs = openedMs;
         server.connections().opened(this);
     }
 
-    // ---- Requests.
+    // Requests
 
     @Override
     public void received(int bytes) {
-        silent = false;
+        nothingReceived = false;
         if (receivingSinceMs == 0) {
             requestIncomplete();
         }
         if (drainingSinceMs > 0) {
             drainedBytes += bytes;
-            if (drainedBytes > DRAIN_BYTES) {
+            if (drainedBytes > MAX_DRAIN_BYTES) {
                 close();
             }
         }
@@ -167,8 +176,8 @@
             reject(message.decoderResult().cause());
             return;
         }
-        if (pending.size() >= MAX_PENDING) {
-            reject(new RejectedException(HttpResponseStatus.BAD_REQUEST, "too many requests at once"));
+        if (pending.size() >= MAX_PENDING_REQUESTS) {
+            reject(new RejectedException(HttpResponseStatus.BAD_REQUEST, "too many pipelined requests"));
             return;
         }
         PendingAnswer next = new PendingAnswer(HttpUtil.isKeepAlive(message));
@@ -183,22 +192,23 @@
     }
 
     /**
-     * Upper bound on how long the request just read has waited. The first request of a client that was accepted late may
-     * have arrived before the accept; it is treated so if read within the lag measured at the accept.
+     * Returns an upper bound on how long the request just read has waited. The first request of a client that was
+     * accepted late may have arrived before the accept; this is assumed if it is read within the lag measured at the
+     * accept.
      */
-    private double unreadMs() {
+    private double maxUnreadMs() {
         double sinceOpenedMs = server.nowMs() - openedMs;
-        boolean mayHaveWaited = !answered && pending.size() == 1 && sinceOpenedMs < openedLagMs;
-        return Math.max(server.lagMs(), mayHaveWaited ? openedLagMs + sinceOpenedMs : 0);
+        boolean mayHaveWaited = !answered && pending.size() == 1 && sinceOpenedMs < lagAtOpenMs;
+        return Math.max(server.lagMs(), mayHaveWaited ? lagAtOpenMs + sinceOpenedMs : 0);
     }
 
     private void submit(FullHttpRequest message, PendingAnswer next) {
         try {
             ClientRequest request = server.parse(message);
             next.id = request.id();
-            next.exchange = server.submit(request, unreadMs(), next);
+            next.exchange = server.submit(request, maxUnreadMs(), next);
         } catch (RejectedException e) {
-            // Otherwise a client could keep the event loop busy with thousands of rejected requests in a row.
+            // Closes the connection: a client could keep the event loop busy with thousands of rejected requests.
             discarding = true;
             next.keepAlive = false;
             next.answer(response(e.status, e.getMessage().getBytes(StandardCharsets.UTF_8)));
@@ -213,7 +223,7 @@
         super.userEventTriggered(context, event);
     }
 
-    /** Answers with an error and closes: the start of the next request is unknown. */
+    /** Answers with an error and closes the connection: where the next request starts is unknown. */
     private void reject(Throwable cause) {
         receivingSinceMs = 0;
         discarding = true;
@@ -222,7 +232,7 @@
         last.answer(response(RequestValidator.status(cause), new byte[0]));
     }
 
-    // ---- Answers.
+    // Answers
 
     private void flushAnswers() {
         while (!pending.isEmpty() && pending.peekFirst().response != null) {
@@ -234,9 +244,9 @@
             writingSinceMs = pendingWrites++ == 0 ? server.nowMs() : writingSinceMs;
             channel.writeAndFlush(first.response).addListener(out -> {
                 if (out.isSuccess()) {
-                    written(last);
+                    onWritten(last);
                 } else {
-                    close(); // the client would mistake the next answer for this one
+                    close(); // the client would take the next answer for this one
                 }
             });
         }
@@ -252,10 +262,10 @@
     }
 
     private void updateAutoRead() {
-        channel.config().setAutoRead(drainingSinceMs > 0 || !discarding && pending.size() < MAX_PENDING);
+        channel.config().setAutoRead(drainingSinceMs > 0 || !discarding && pending.size() < MAX_PENDING_REQUESTS);
     }
 
-    private void written(boolean last) {
+    private void onWritten(boolean last) {
         pendingWrites--;
         writingSinceMs = pendingWrites == 0 ? 0 : server.nowMs();
         if (last) {
@@ -263,21 +273,21 @@
         }
     }
 
-    // ---- Closing. Every graceful close starts in shutdown(), directly or after the last answer. Accepted requests are
-    // answered first, unread input is checked for, and later input is drained: closing with unread input sends a
-    // reset.
+    // Closing: every graceful close starts in shutdown(), directly or after the last answer. Accepted requests are
+    // answered first, unread input is checked for, and later input is read and discarded: closing a socket with unread
+    // input sends a reset.
 
-    /** Starts or completes the close of a connection that has been idle or silent long enough; returns whether it did. */
+    /** Starts or completes the close of a connection that is idle or has sent nothing; returns whether it did. */
     boolean closeToFreeSocket(double nowMs) {
-        boolean ending = drainingSinceMs > 0 && pendingWrites == 0;
-        boolean canGo = ending
+        boolean closing = drainingSinceMs > 0 && pendingWrites == 0;
+        boolean canClose = closing
                 || hasNoWork()
-                        && (idleSinceMs > 0 && nowMs - idleSinceMs > IDLE_MS
-                                || silent && nowMs - receivingSinceMs > SILENT_MS);
-        if (!canGo || !channel.isOpenWithoutInput()) {
+                        && (idleSinceMs > 0 && nowMs - idleSinceMs > IDLE_TIMEOUT_MS
+                                || nothingReceived && nowMs - receivingSinceMs > FIRST_BYTE_TIMEOUT_MS);
+        if (!canClose || !channel.isOpenWithoutInput()) {
             return false;
         }
-        if (ending) {
+        if (closing) {
             close();
         } else {
             shutdown();
@@ -290,34 +300,39 @@
             closeIfIdle(nowMs);
         }
         if (drainingSinceMs > 0 && nowMs - drainingSinceMs > DRAIN_TIMEOUT_MS
-                || writingSinceMs > 0 && nowMs - writingSinceMs > READ_MS) {
+                || writingSinceMs > 0 && nowMs - writingSinceMs > ANSWER_READ_TIMEOUT_MS) {
             close();
         } else if (receivingSinceMs > 0
-                && nowMs - Math.max(receivingSinceMs, server.closingSinceMs()) > requestMs()
+                && nowMs - Math.max(receivingSinceMs, server.closingSinceMs()) > requestTimeoutMs()
                 && isInputRead()) {
-            if (silent) {
+            if (nothingReceived) {
                 shutdown();
             } else {
-                reject(new RejectedException(HttpResponseStatus.REQUEST_TIMEOUT, "the request did not come in time"));
+                reject(new RejectedException(
+                        HttpResponseStatus.REQUEST_TIMEOUT, "the request was not received in time"));
             }
         }
     }
 
-    private double requestMs() {
-        return server.closing() ? SHUTDOWN_REQUEST_TIMEOUT_MS : REQUEST_MS;
+    private double requestTimeoutMs() {
+        return server.closing() ? SHUTDOWN_REQUEST_TIMEOUT_MS : REQUEST_TIMEOUT_MS;
     }
 
-    /** Elapsed time alone is not enough: input that arrived in time may be unread for lack of processor time. */
+    /** Elapsed time alone proves no timeout: input may have arrived in time and be unread for lack of CPU time. */
     private boolean isInputRead() {
         boolean inputRead = unreadInputChecked || channel.isOpenWithoutInput();
         unreadInputChecked = true;
         return inputRead;
     }
 
-    /** A connection that is receiving a request, or may be about to, is not idle: it closes after that answer. */
+    /**
+     * Closes the connection unless a request is open, being received or likely to arrive; it then closes after the
+     * answer.
+     */
     void closeIfIdle(double nowMs) {
-        boolean begun = receivingSinceMs > 0 && (!silent || nowMs - receivingSinceMs <= SILENT_MS);
-        if (hasNoWork() && !begun && channel.isOpenWithoutInput()) {
+        boolean receiving =
+                receivingSinceMs > 0 && (!nothingReceived || nowMs - receivingSinceMs <= FIRST_BYTE_TIMEOUT_MS);
+        if (hasNoWork() && !receiving && channel.isOpenWithoutInput()) {
             shutdown();
         }
     }
@@ -326,7 +341,7 @@
         return pending.isEmpty() && pendingWrites == 0 && drainingSinceMs == 0;
     }
 
-    /** Stops sending; requests that arrive afterwards are read but not served, and their clients retry. */
+    /** Shuts the output down; requests that arrive afterwards are read but not served, and their clients retry. */
     private void shutdown() {
         discarding = true;
         receivingSinceMs = 0;
