--- a/scale/src/main/java/gradehub/scale/model/ApplicationCall.java
+++ b/scale/src/main/java/gradehub/scale/model/ApplicationCall.java
@@ -11,48 +11,48 @@
     }
 
     private final SimulationContext context;
-    private final FanOut operation;
+    private final FanOut fanOut;
     private final ServiceClient client;
     private final long deadlineMicros;
-    private int triesLeft;
+    private int remainingTries;
 
-    ApplicationCall(SimulationContext context, FanOut operation, ServiceClient client, long deadlineMicros, int tries) {
+    ApplicationCall(SimulationContext context, FanOut fanOut, ServiceClient client, long deadlineMicros, int maxTries) {
         this.context = context;
-        this.operation = operation;
+        this.fanOut = fanOut;
         this.client = client;
         this.deadlineMicros = deadlineMicros;
-        this.triesLeft = tries;
+        this.remainingTries = maxTries;
     }
 
     /** Makes the first try, unless the time of the request that it is for has run out. */
     void start(long nowMicros) {
-        if (!operation.isLive()) {
+        if (!fanOut.isProcessAlive()) {
             return;
         }
         if (nowMicros >= deadlineMicros) {
-            operation.callEnded(nowMicros, false);
+            fanOut.callEnded(nowMicros, false);
             return;
         }
-        triesLeft--;
-        client.request(nowMicros, this, deadlineMicros, false);
+        remainingTries--;
+        client.handleRequest(nowMicros, this, deadlineMicros, false);
     }
 
     /** Calls are safe to repeat: the application tries again after any failure, as long as there is time. */
-    void answered(long nowMicros, Answer answer) {
-        long pauseMicros = context.experiment.calls().retryPauseMillis() * SimulationContext.MICROS_PER_MILLI;
-        boolean again = answer != Answer.SERVED && triesLeft > 0 && nowMicros + pauseMicros < deadlineMicros;
-        if (!again) {
-            operation.callEnded(nowMicros, answer == Answer.SERVED);
-        } else if (operation.isLive()) {
-            triesLeft--;
-            context.queue.scheduleAt(nowMicros + pauseMicros, this::repeat);
+    void answerReceived(long nowMicros, Answer answer) {
+        long retryDelayMicros = context.experiment.calls().retryPauseMillis() * SimulationContext.MICROS_PER_MILLI;
+        boolean retry = answer != Answer.SERVED && remainingTries > 0 && nowMicros + retryDelayMicros < deadlineMicros;
+        if (!retry) {
+            fanOut.callEnded(nowMicros, answer == Answer.SERVED);
+        } else if (fanOut.isProcessAlive()) {
+            remainingTries--;
+            context.queue.scheduleAt(nowMicros + retryDelayMicros, this::sendRetry);
         }
     }
 
-    private void repeat(long nowMicros) {
-        if (operation.isLive()) {
+    private void sendRetry(long nowMicros) {
+        if (fanOut.isProcessAlive()) {
             context.measurements.callRetried(nowMicros);
-            client.request(nowMicros, this, deadlineMicros, true);
+            client.handleRequest(nowMicros, this, deadlineMicros, true);
         }
     }
 }
--- a/scale/src/main/java/gradehub/scale/model/Attempt.java
+++ b/scale/src/main/java/gradehub/scale/model/Attempt.java
@@ -6,7 +6,7 @@
 final class Attempt implements Event {
 
     final ServiceClient client;
-    final ServiceClient.Exchange exchange;
+    final ServiceClient.OpenRequest request;
     final int number;
     final SimulatedUpstream upstream;
     final long sentMicros;
@@ -15,17 +15,17 @@
     /** Whether the sidecar knows its end. */
     boolean ended;
     /** Its place among those that the upstream has in hand, or -1. */
-    int heldPlace = -1;
+    int inProgressIndex = -1;
 
     Attempt(
             ServiceClient client,
-            ServiceClient.Exchange exchange,
+            ServiceClient.OpenRequest request,
             int number,
             SimulatedUpstream upstream,
             long sentMicros,
             long deadlineMicros) {
         this.client = client;
-        this.exchange = exchange;
+        this.request = request;
         this.number = number;
         this.upstream = upstream;
         this.sentMicros = sentMicros;
--- a/scale/src/main/java/gradehub/scale/model/ColdStart.java
+++ b/scale/src/main/java/gradehub/scale/model/ColdStart.java
@@ -15,9 +15,9 @@
     private final UpstreamModel model;
     private final double warmRequestsPerMicro;
     private final long coldMicros;
-    private final long spanMicros;
+    private final long windowMicros;
     private final ArrayDeque<Arrival> arrivals = new ArrayDeque<>();
-    private double inSpan;
+    private double requestsInWindow;
     private long startedMicros;
     private long warmMicros;
 
@@ -25,7 +25,7 @@
         this.model = model;
         this.warmRequestsPerMicro = warmRequestsPerMicro;
         this.coldMicros = model.coldMillis() * SimulationContext.MICROS_PER_MILLI;
-        this.spanMicros = model.overloadWindowMillis() * SimulationContext.MICROS_PER_MILLI;
+        this.windowMicros = model.overloadWindowMillis() * SimulationContext.MICROS_PER_MILLI;
     }
 
     /** A process starts, cold. */
@@ -33,7 +33,7 @@
         startedMicros = nowMicros;
         warmMicros = nowMicros + coldMicros;
         arrivals.clear();
-        inSpan = 0;
+        requestsInWindow = 0;
     }
 
     boolean isCold(long nowMicros) {
@@ -41,7 +41,7 @@
     }
 
     /** The part of its whole capacity that it has now. */
-    double capacity(long nowMicros) {
+    double capacityFraction(long nowMicros) {
         if (!isCold(nowMicros)) {
             return 1;
         }
@@ -49,14 +49,14 @@
     }
 
     /** Counts a request of this size, in mean ones, and tells the load of the latest span against what it can take. */
-    double count(long nowMicros, double requests) {
+    double recordArrival(long nowMicros, double requests) {
         arrivals.add(new Arrival(nowMicros, requests));
-        inSpan += requests;
-        while (nowMicros - arrivals.peek().atMicros() > spanMicros) {
-            inSpan -= arrivals.poll().requests();
+        requestsInWindow += requests;
+        while (nowMicros - arrivals.peek().atMicros() > windowMicros) {
+            requestsInWindow -= arrivals.poll().requests();
         }
-        double present = capacity(arrivals.peek().atMicros()) * warmRequestsPerMicro;
-        double budget = model.overloadFactor() * present * spanMicros;
-        return inSpan / (budget + 2 * Math.sqrt(budget) + 2);
+        double requestsPerMicro = capacityFraction(arrivals.peek().atMicros()) * warmRequestsPerMicro;
+        double nominalLimit = model.overloadFactor() * requestsPerMicro * windowMicros;
+        return requestsInWindow / (nominalLimit + 2 * Math.sqrt(nominalLimit) + 2);
     }
 }
--- a/scale/src/main/java/gradehub/scale/model/FanOut.java
+++ b/scale/src/main/java/gradehub/scale/model/FanOut.java
@@ -3,64 +3,64 @@
 /** What an application does for one request: its calls to the next layer, all at once. It ends with the last of them. */
 final class FanOut {
 
-    /** Told of the end of an operation. */
+    /** Told of the end of a fan-out. */
     @FunctionalInterface
-    interface End {
+    interface CompletionHandler {
         /** The operation has ended; it has succeeded if all its calls were served. */
-        void ended(long nowMicros, boolean succeeded);
+        void completed(long nowMicros, boolean succeeded);
     }
 
     private final SimulationContext context;
     private final SimulatedSidecar sidecar;
-    private final int life;
-    private final End end;
-    private int pending;
-    private boolean failed;
+    private final int incarnation;
+    private final CompletionHandler completionHandler;
+    private int pendingCalls;
+    private boolean anyCallFailed;
 
-    private FanOut(SimulationContext context, SimulatedSidecar sidecar, End end) {
+    private FanOut(SimulationContext context, SimulatedSidecar sidecar, CompletionHandler completionHandler) {
         this.context = context;
         this.sidecar = sidecar;
-        this.life = sidecar.incarnation();
-        this.end = end;
+        this.incarnation = sidecar.incarnation();
+        this.completionHandler = completionHandler;
     }
 
     /** Begins an operation of the application beside this sidecar. */
-    static void begin(
+    static void start(
             SimulationContext context,
             SimulatedSidecar sidecar,
             long nowMicros,
             long deadlineMicros,
-            int tries,
-            End end) {
-        FanOut operation = new FanOut(context, sidecar, end);
-        operation.pending = sidecar.drawCalls();
-        if (operation.pending == 0) {
-            end.ended(nowMicros, true);
+            int maxTries,
+            CompletionHandler completionHandler) {
+        FanOut fanOut = new FanOut(context, sidecar, completionHandler);
+        fanOut.pendingCalls = sidecar.sampleCallCount();
+        if (fanOut.pendingCalls == 0) {
+            completionHandler.completed(nowMicros, true);
             return;
         }
         long delayMicros = context.network.model().localMicros();
-        int calls = operation.pending;
-        for (int i = 0; i < calls; i++) {
-            ServiceClient client = sidecar.drawClient();
-            ApplicationCall call = new ApplicationCall(context, operation, client, deadlineMicros, tries);
+        int callCount = fanOut.pendingCalls;
+        for (int i = 0; i < callCount; i++) {
+            ServiceClient client = sidecar.pickClient();
+            ApplicationCall call = new ApplicationCall(context, fanOut, client, deadlineMicros, maxTries);
             context.measurements.callStarted(nowMicros, sidecar.machine());
             context.queue.scheduleAt(nowMicros + delayMicros, call::start);
         }
     }
 
     /** Whether the process that it runs in still lives. */
-    boolean isLive() {
-        return sidecar.incarnation() == life;
+    boolean isProcessAlive() {
+        return sidecar.incarnation() == incarnation;
     }
 
     void callEnded(long nowMicros, boolean served) {
-        if (!isLive()) {
+        if (!isProcessAlive()) {
             return;
         }
-        failed |= !served;
-        pending--;
-        if (pending == 0) {
-            end.ended(nowMicros, !failed);
+        anyCallFailed |= !served;
+        pendingCalls--;
+        if (pendingCalls == 0) {
+            completionHandler.completed(nowMicros, !anyCallFailed);
         }
     }
 }
--- a/scale/src/main/java/gradehub/scale/model/RootClients.java
+++ b/scale/src/main/java/gradehub/scale/model/RootClients.java
@@ -8,14 +8,14 @@
     private final SimulationContext context;
     private final Topology.Machine machine;
     private final SplittableRandom random;
-    private final double meanGapMicros;
+    private final double meanInterarrivalMicros;
     private final long deadlineMicros;
 
     private RootClients(SimulationContext context, Topology.Machine machine, double callsPerSecond) {
         this.context = context;
         this.machine = machine;
         this.random = context.newRandom();
-        this.meanGapMicros = SimulationContext.MICROS_PER_SECOND / callsPerSecond;
+        this.meanInterarrivalMicros = SimulationContext.MICROS_PER_SECOND / callsPerSecond;
         this.deadlineMicros = context.experiment.calls().deadlineMillis() * SimulationContext.MICROS_PER_MILLI;
     }
 
@@ -25,15 +25,15 @@
             double callsPerSecond = service.plannedRate() / service.machines().size();
             for (Topology.Machine machine : service.machines()) {
                 if (callsPerSecond > 0) {
-                    new RootClients(context, machine, callsPerSecond).scheduleNext(0);
+                    new RootClients(context, machine, callsPerSecond).scheduleNextArrival(0);
                 }
             }
         }
     }
 
-    private void scheduleNext(long intendedMicros) {
-        double gap = -Math.log(1 - random.nextDouble()) * meanGapMicros;
-        context.queue.scheduleAt(intendedMicros + Math.max(1, Math.round(gap)), this::arrive);
+    private void scheduleNextArrival(long previousArrivalMicros) {
+        double interarrivalMicros = -Math.log(1 - random.nextDouble()) * meanInterarrivalMicros;
+        context.queue.scheduleAt(previousArrivalMicros + Math.max(1, Math.round(interarrivalMicros)), this::arrive);
     }
 
     /** Clients of a machine that is down go elsewhere, outside of the fleet. */
@@ -41,15 +41,15 @@
         SimulatedSidecar sidecar = context.sidecars.get(machine.number());
         if (sidecar.isRunning()) {
             context.measurements.rootCallStarted(nowMicros);
-            int tries = context.experiment.calls().rootTries();
-            FanOut.begin(
+            int maxTries = context.experiment.calls().rootTries();
+            FanOut.start(
                     context,
                     sidecar,
                     nowMicros,
                     nowMicros + deadlineMicros,
-                    tries,
+                    maxTries,
                     (now, served) -> context.measurements.rootCallEnded(now, nowMicros, served));
         }
-        scheduleNext(nowMicros);
+        scheduleNextArrival(nowMicros);
     }
 }
--- a/scale/src/main/java/gradehub/scale/model/ServiceClient.java
+++ b/scale/src/main/java/gradehub/scale/model/ServiceClient.java
@@ -19,15 +19,15 @@
 final class ServiceClient implements Balancer.Actions {
 
     /** A request in hand: until it is answered and each of its attempts has ended. */
-    static final class Exchange {
+    static final class OpenRequest {
         final int id;
         final ApplicationCall call;
         final long deadlineMicros;
         final List<Attempt> attempts = new ArrayList<>(2);
-        int out;
-        boolean over;
+        int attemptsInFlight;
+        boolean answered;
 
-        Exchange(int id, ApplicationCall call, long deadlineMicros) {
+        OpenRequest(int id, ApplicationCall call, long deadlineMicros) {
             this.id = id;
             this.call = call;
             this.deadlineMicros = deadlineMicros;
@@ -40,9 +40,9 @@
     private final SimulatedSidecar sidecar;
     private final int maxAttempts;
     private final Balancer balancer;
-    private final Map<Integer, Exchange> exchanges = new HashMap<>();
-    private int lastRequest;
-    private boolean live = true;
+    private final Map<Integer, OpenRequest> openRequests = new HashMap<>();
+    private int lastRequestId;
+    private boolean running = true;
 
     ServiceClient(SimulationContext context, SimulatedSidecar sidecar, Balancer.Settings settings, long seed) {
         this.context = context;
@@ -62,84 +62,84 @@
 
     /** The sidecar's process has ended: nothing is told any more. */
     void stop() {
-        live = false;
-        exchanges.clear();
+        running = false;
+        openRequests.clear();
     }
 
-    void listed(long nowMicros, ListKind kind, List<Upstream> entries) {
+    void updateUpstreams(long nowMicros, ListKind kind, List<Upstream> entries) {
         balancer.upstreams(SimulationContext.toMillis(nowMicros), kind, entries);
     }
 
-    void request(long nowMicros, ApplicationCall call, long deadlineMicros, boolean repeat) {
-        Exchange exchange = new Exchange(++lastRequest, call, deadlineMicros);
-        exchanges.put(exchange.id, exchange);
+    void handleRequest(long nowMicros, ApplicationCall call, long deadlineMicros, boolean retry) {
+        OpenRequest request = new OpenRequest(++lastRequestId, call, deadlineMicros);
+        openRequests.put(request.id, request);
         double timeoutMillis = SimulationContext.toMillis(deadlineMicros - nowMicros);
-        balancer.request(
-                SimulationContext.toMillis(nowMicros), new Request(exchange.id, 0, 0, timeoutMillis, repeat, 0));
+        balancer.request(SimulationContext.toMillis(nowMicros), new Request(request.id, 0, 0, timeoutMillis, retry, 0));
     }
 
     /** An attempt has ended; what comes after its first end is not told. */
     void attemptEnded(long nowMicros, Attempt attempt, Outcome outcome) {
-        if (!live || attempt.ended) {
+        if (!running || attempt.ended) {
             return;
         }
         attempt.ended = true;
-        Exchange exchange = attempt.exchange;
-        exchange.out--;
+        OpenRequest request = attempt.request;
+        request.attemptsInFlight--;
         context.measurements.attemptEnded(nowMicros, outcome);
         if (outcome == Outcome.OK) {
-            answer(exchange, ApplicationCall.Answer.SERVED);
+            sendAnswer(request, ApplicationCall.Answer.SERVED);
         }
         double elapsedMillis = SimulationContext.toMillis(nowMicros - attempt.sentMicros);
         balancer.attemptEnded(
                 SimulationContext.toMillis(nowMicros),
                 new AttemptEnd(
-                        exchange.id,
+                        request.id,
                         attempt.number,
                         attempt.upstream.machine().number(),
                         outcome,
                         elapsedMillis,
-                        exchange.over,
+                        request.answered,
                         NO_REPORT));
-        if (exchange.over && exchange.out == 0) {
-            exchanges.remove(exchange.id);
+        if (request.answered && request.attemptsInFlight == 0) {
+            openRequests.remove(request.id);
         }
     }
 
-    private void answer(Exchange exchange, ApplicationCall.Answer answer) {
-        if (exchange.over) {
+    private void sendAnswer(OpenRequest request, ApplicationCall.Answer answer) {
+        if (request.answered) {
             return;
         }
-        exchange.over = true;
+        request.answered = true;
         long nowMicros = context.queue.nowMicros();
-        boolean sent = !exchange.attempts.isEmpty();
-        context.measurements.requestAnswered(nowMicros, nowMicros - exchange.deadlineMicros, answer, sent);
-        context.queue.scheduleAfter(context.network.model().localMicros(), now -> exchange.call.answered(now, answer));
-    }
-
-    private void finish(int request, ApplicationCall.Answer answer) {
-        Exchange exchange = exchanges.get(request);
-        if (exchange != null) {
-            answer(exchange, answer);
-            if (exchange.out == 0) {
-                exchanges.remove(request);
+        boolean sent = !request.attempts.isEmpty();
+        context.measurements.requestAnswered(nowMicros, nowMicros - request.deadlineMicros, answer, sent);
+        context.queue.scheduleAfter(
+                context.network.model().localMicros(), now -> request.call.answerReceived(now, answer));
+    }
+
+    private void completeRequest(int requestId, ApplicationCall.Answer answer) {
+        OpenRequest request = openRequests.get(requestId);
+        if (request != null) {
+            sendAnswer(request, answer);
+            if (request.attemptsInFlight == 0) {
+                openRequests.remove(requestId);
             }
         }
     }
 
     @Override
-    public void send(int request, int upstream, double timeoutMs) {
-        Exchange exchange = exchanges.get(request);
+    public void send(int requestId, int upstreamId, double timeoutMs) {
+        OpenRequest request = openRequests.get(requestId);
         long now = context.queue.nowMicros();
-        long wanted = timeoutMs == 0
-                ? exchange.deadlineMicros
+        long requestedDeadline = timeoutMs == 0
+                ? request.deadlineMicros
                 : now + Math.round(timeoutMs * SimulationContext.MICROS_PER_MILLI);
-        long deadline = Math.min(wanted, exchange.deadlineMicros);
-        SimulatedUpstream target = context.upstreams.get(upstream);
-        Attempt attempt = new Attempt(this, exchange, exchange.attempts.size(), target, now, deadline);
-        exchange.attempts.add(attempt);
-        exchange.out++;
-        if (exchange.over || attempt.number >= maxAttempts || exchange.deadlineMicros <= now) {
+        long deadline = Math.min(requestedDeadline, request.deadlineMicros);
+        SimulatedUpstream target = context.upstreams.get(upstreamId);
+        Attempt attempt = new Attempt(this, request, request.attempts.size(), target, now, deadline);
+        request.attempts.add(attempt);
+        request.attemptsInFlight++;
+        if (request.answered || attempt.number >= maxAttempts || request.deadlineMicros <= now) {
             context.queue.scheduleAt(now, later -> attemptEnded(later, attempt, Outcome.NOT_SENT));
             return;
         }
@@ -152,7 +152,7 @@
         context.measurements.attemptSent(now, target, Network.distance(sidecar.machine(), target));
         if (context.isReachable(sidecar.machine(), target)) {
             long delay = context.delayMicros(sidecar.machine(), target);
-            context.queue.scheduleAt(now + delay, later -> attempt.upstream.arrive(later, attempt));
+            context.queue.scheduleAt(now + delay, later -> attempt.upstream.receive(later, attempt));
         } else {
             long timeout = context.network.model().connectTimeoutMillis() * SimulationContext.MICROS_PER_MILLI;
             context.queue.scheduleAt(now + timeout, later -> attemptEnded(later, attempt, Outcome.CONNECT_FAILED));
@@ -160,42 +160,42 @@
     }
 
     /** Passes an upstream's answer on, as far as there is a path. */
-    void reply(long nowMicros, Attempt attempt, Outcome outcome) {
-        Topology.Machine from = attempt.upstream.machine();
-        if (live && !attempt.ended && context.isReachable(sidecar.machine(), from)) {
-            long delay = context.delayMicros(sidecar.machine(), from);
+    void deliverOutcome(long nowMicros, Attempt attempt, Outcome outcome) {
+        Topology.Machine source = attempt.upstream.machine();
+        if (running && !attempt.ended && context.isReachable(sidecar.machine(), source)) {
+            long delay = context.delayMicros(sidecar.machine(), source);
             context.queue.scheduleAt(nowMicros + delay, now -> attemptEnded(now, attempt, outcome));
         }
     }
 
     @Override
-    public void refuse(int request, double retryAfterMs) {
-        finish(request, ApplicationCall.Answer.REFUSED);
+    public void refuse(int requestId, double retryAfterMs) {
+        completeRequest(requestId, ApplicationCall.Answer.REFUSED);
     }
 
     @Override
-    public void fail(int request) {
-        finish(request, ApplicationCall.Answer.FAILED);
+    public void fail(int requestId) {
+        completeRequest(requestId, ApplicationCall.Answer.FAILED);
     }
 
     @Override
-    public void cancel(int request, int attempt) {
-        Exchange exchange = exchanges.get(request);
-        if (exchange != null && attempt >= 0 && attempt < exchange.attempts.size()) {
-            Attempt cancelled = exchange.attempts.get(attempt);
+    public void cancel(int requestId, int attemptNumber) {
+        OpenRequest request = openRequests.get(requestId);
+        if (request != null && attemptNumber >= 0 && attemptNumber < request.attempts.size()) {
+            Attempt cancelled = request.attempts.get(attemptNumber);
             context.queue.scheduleAfter(0, now -> attemptEnded(now, cancelled, Outcome.CANCELLED));
         }
     }
 
     @Override
-    public void probe(int upstream) {
+    public void probe(int upstreamId) {
         throw new IllegalStateException("the settings of the model allow no probes");
     }
 
     @Override
     public void timer(double delayMs, int token) {
         context.queue.scheduleAfter((long) Math.ceil(delayMs * SimulationContext.MICROS_PER_MILLI), now -> {
-            if (live) {
+            if (running) {
                 balancer.timer(SimulationContext.toMillis(now), token);
             }
         });
@@ -212,7 +212,7 @@
     }
 
     @Override
-    public void closeIdle(int upstream) {
+    public void closeIdle(int upstreamId) {
         // Connections are no part of the model.
     }
 
--- a/scale/src/main/java/gradehub/scale/model/SimulatedSidecar.java
+++ b/scale/src/main/java/gradehub/scale/model/SimulatedSidecar.java
@@ -24,22 +24,22 @@
 
     private static final double TICK_MILLIS = 5;
     private static final double LATE_WORTH = 0.5;
-    private static final double ASK_EVERY_MILLIS = 10_000;
+    private static final double LIST_FETCH_INTERVAL_MILLIS = 10_000;
 
     private final SimulationContext context;
     private final Topology.Machine machine;
     private final SplittableRandom random;
     private final ListClient listClient;
-    private final List<Integer> called;
-    private final List<ServiceClient> clients = new ArrayList<>();
-    private int life;
+    private final List<Integer> calledServices;
+    private final List<ServiceClient> serviceClients = new ArrayList<>();
+    private int incarnation;
     private boolean running;
 
     SimulatedSidecar(SimulationContext context, Topology.Machine machine) {
         this.context = context;
         this.machine = machine;
         this.random = context.newRandom();
-        this.called = context.topology.services.get(machine.service()).callees();
+        this.calledServices = context.topology.services.get(machine.service()).callees();
         this.listClient = new ListClient(context, this);
     }
 
@@ -48,13 +48,13 @@
     }
 
     /** The services that its application calls. */
-    List<Integer> called() {
-        return called;
+    List<Integer> calledServices() {
+        return calledServices;
     }
 
     /** Counts the processes that have run here. */
     int incarnation() {
-        return life;
+        return incarnation;
     }
 
     boolean isRunning() {
@@ -66,50 +66,51 @@
     }
 
     /** The decision modules' hosts, one for each called service; one without a service where it calls none. */
-    List<ServiceClient> clients() {
-        return clients;
+    List<ServiceClient> serviceClients() {
+        return serviceClients;
     }
 
     /** Starts a process, with the list as the sidecar last had it. */
-    void start(long nowMicros, List<ListEntry> known) {
+    void start(long nowMicros, List<ListEntry> cachedList) {
         running = true;
-        for (int i = 0; i < Math.max(1, called.size()); i++) {
-            int callers = called.isEmpty()
+        for (int i = 0; i < Math.max(1, calledServices.size()); i++) {
+            int callerCount = calledServices.isEmpty()
                     ? 1
-                    : context.topology.services.get(called.get(i)).callerCount();
-            clients.add(new ServiceClient(context, this, settings(context.experiment, callers), random.nextLong()));
+                    : context.topology.services.get(calledServices.get(i)).callerCount();
+            serviceClients.add(
+                    new ServiceClient(context, this, settings(context.experiment, callerCount), random.nextLong()));
         }
         listClient.start(nowMicros);
-        updateUpstreams(nowMicros, ListKind.CACHED, known);
-        clients.forEach(client -> client.start(nowMicros));
+        updateUpstreams(nowMicros, ListKind.CACHED, cachedList);
+        serviceClients.forEach(client -> client.start(nowMicros));
     }
 
     /** The process ends, by itself or with its machine. */
     void stop(long nowMicros) {
         running = false;
-        life++;
-        clients.forEach(ServiceClient::stop);
-        clients.clear();
+        incarnation++;
+        serviceClients.forEach(ServiceClient::stop);
+        serviceClients.clear();
         listClient.stop(nowMicros);
     }
 
     /** What a module is told whose service is called by so many sidecars. */
-    static Settings settings(Experiment experiment, int callers) {
+    static Settings settings(Experiment experiment, int callerCount) {
         CallModel calls = experiment.calls();
         UpstreamModel upstream = experiment.upstream();
-        RequestClass spec = new RequestClass(
+        RequestClass requestClass = new RequestClass(
                 "call", calls.aimMillis(), calls.deadlineMillis(), 1, LATE_WORTH, Effect.SAFE, Group.ALL, 0, false);
         Contract contract = new Contract(
                 upstream.coldFrom(),
                 upstream.coldMillis(),
                 upstream.overloadFactor(),
                 upstream.overloadWindowMillis(),
-                ASK_EVERY_MILLIS);
+                LIST_FETCH_INTERVAL_MILLIS);
         Limits limits = new Limits(calls.maxAttempts(), calls.secondCopies(), true, false, 0);
         return new Settings(
-                List.of(spec),
+                List.of(requestClass),
                 List.of(),
-                callers,
+                callerCount,
                 true,
                 true,
                 TICK_MILLIS,
@@ -123,42 +124,42 @@
 
     /** Only the first module's wish counts: the network code keeps one watch for all. */
     void subscribe(ServiceClient client, boolean on) {
-        if (on && client == clients.get(0)) {
+        if (on && client == serviceClients.get(0)) {
             listClient.subscribe(context.queue.nowMicros());
         }
     }
 
     /** The watch has failed: the first module decides when it is opened again. */
     void watchFailed(long nowMicros) {
-        clients.get(0).listed(nowMicros, ListKind.FAILED, List.of());
+        serviceClients.get(0).updateUpstreams(nowMicros, ListKind.FAILED, List.of());
     }
 
     /** Tells each module of the listed machines of its service. */
-    void updateUpstreams(long nowMicros, ListKind kind, List<ListEntry> listed) {
-        for (int i = 0; i < clients.size(); i++) {
+    void updateUpstreams(long nowMicros, ListKind kind, List<ListEntry> list) {
+        for (int i = 0; i < serviceClients.size(); i++) {
             List<Upstream> entries = new ArrayList<>();
-            for (ListEntry entry : listed) {
-                if (i < called.size() && entry.machine().service() == called.get(i)) {
+            for (ListEntry entry : list) {
+                if (i < calledServices.size() && entry.machine().service() == calledServices.get(i)) {
                     entries.add(entry.upstream());
                 }
             }
-            clients.get(i).listed(nowMicros, kind, entries);
+            serviceClients.get(i).updateUpstreams(nowMicros, kind, entries);
         }
     }
 
     /** How many calls the next operation makes. */
-    int drawCalls() {
-        if (called.isEmpty()) {
+    int sampleCallCount() {
+        if (calledServices.isEmpty()) {
             return 0;
         }
         double mean = context.experiment.calls().callsPerRequest();
-        int whole = (int) mean;
-        boolean another = mean > whole && random.nextDouble() < mean - whole;
-        return whole + (another ? 1 : 0);
+        int wholeCalls = (int) mean;
+        boolean extraCall = mean > wholeCalls && random.nextDouble() < mean - wholeCalls;
+        return wholeCalls + (extraCall ? 1 : 0);
     }
 
     /** The service that the next call goes to: each as often. */
-    ServiceClient drawClient() {
-        return clients.get(clients.size() == 1 ? 0 : random.nextInt(clients.size()));
+    ServiceClient pickClient() {
+        return serviceClients.get(serviceClients.size() == 1 ? 0 : random.nextInt(serviceClients.size()));
     }
 }
--- a/scale/src/main/java/gradehub/scale/model/SimulatedUpstream.java
+++ b/scale/src/main/java/gradehub/scale/model/SimulatedUpstream.java
@@ -18,18 +18,18 @@
     /** Parameters of the log-normal distribution of work with that mean. */
     private final double logMean;
 
-    private final double logDeviation;
+    private final double logStandardDeviation;
     private final ArrayDeque<Attempt> waiting = new ArrayDeque<>();
-    private final List<Attempt> held = new ArrayList<>();
-    private final ColdStart coldBudget;
-    private int running;
-    private int life;
+    private final List<Attempt> inProgress = new ArrayList<>();
+    private final ColdStart coldStart;
+    private int busyCores;
+    private int incarnation;
     private boolean up = true;
-    private boolean silent;
-    private boolean fallen;
+    private boolean machineLost;
+    private boolean crashedByOverload;
     private long startedMicros = -1;
-    private double errorPart;
-    private double slowFactor = 1;
+    private double errorFraction;
+    private double slowdownFactor = 1;
 
     SimulatedUpstream(SimulationContext context, Topology.Machine machine) {
         this.context = context;
@@ -37,15 +37,15 @@
         this.model = context.experiment.upstream();
         this.random = context.newRandom();
         Topology.Service service = context.topology.services.get(machine.service());
-        double perMachine = service.plannedRate() / service.machines().size();
+        double ratePerMachine = service.plannedRate() / service.machines().size();
         double utilisation = context.experiment.fleet().utilisation();
-        this.meanWorkMicros = perMachine > 0
-                ? utilisation * model.cores() * SimulationContext.MICROS_PER_SECOND / perMachine
+        this.meanWorkMicros = ratePerMachine > 0
+                ? utilisation * model.cores() * SimulationContext.MICROS_PER_SECOND / ratePerMachine
                 : SimulationContext.MICROS_PER_MILLI;
         double variance = Math.log1p(model.workVariation() * model.workVariation());
         this.logMean = Math.log(meanWorkMicros) - variance / 2;
-        this.logDeviation = Math.sqrt(variance);
-        this.coldBudget = new ColdStart(model, model.cores() / meanWorkMicros);
+        this.logStandardDeviation = Math.sqrt(variance);
+        this.coldStart = new ColdStart(model, model.cores() / meanWorkMicros);
     }
 
     Topology.Machine machine() {
@@ -54,7 +54,7 @@
 
     /** Whether its machine says nothing, as one that is lost or cut off. */
     boolean isMachineLost() {
-        return silent;
+        return machineLost;
     }
 
     /** Whether its process runs. */
@@ -67,111 +67,111 @@
         return startedMicros;
     }
 
-    void setErrorFraction(double part) {
-        errorPart = part;
+    void setErrorFraction(double fraction) {
+        errorFraction = fraction;
     }
 
     void setSlowdownFactor(double factor) {
-        slowFactor = factor;
+        slowdownFactor = factor;
     }
 
     /** The machine falls silent and its process is gone; what it has in hand is never answered. */
     void loseMachine() {
-        silent = true;
+        machineLost = true;
         up = false;
-        life++;
-        forget();
+        incarnation++;
+        dropAttempts();
     }
 
     /** The process dies; its connections are reset. */
     void kill(long nowMicros) {
         up = false;
-        life++;
-        for (Attempt attempt : List.copyOf(held)) {
-            attempt.client.reply(nowMicros, attempt, Outcome.RESET);
+        incarnation++;
+        for (Attempt attempt : List.copyOf(inProgress)) {
+            attempt.client.deliverOutcome(nowMicros, attempt, Outcome.RESET);
         }
-        forget();
+        dropAttempts();
     }
 
     /** A new, cold process starts. */
     void start(long nowMicros) {
-        silent = false;
+        machineLost = false;
         up = true;
-        fallen = false;
+        crashedByOverload = false;
         startedMicros = nowMicros;
-        coldBudget.start(nowMicros);
+        coldStart.start(nowMicros);
     }
 
-    private void forget() {
-        held.forEach(attempt -> attempt.heldPlace = -1);
-        held.clear();
+    private void dropAttempts() {
+        inProgress.forEach(attempt -> attempt.inProgressIndex = -1);
+        inProgress.clear();
         waiting.clear();
-        running = 0;
+        busyCores = 0;
     }
 
-    void arrive(long nowMicros, Attempt attempt) {
-        if (silent) {
+    void receive(long nowMicros, Attempt attempt) {
+        if (machineLost) {
             return;
         }
         if (!up) {
-            attempt.client.reply(nowMicros, attempt, Outcome.CONNECT_FAILED);
+            attempt.client.deliverOutcome(nowMicros, attempt, Outcome.CONNECT_FAILED);
             return;
         }
         context.measurements.attemptArrived(nowMicros, machine);
-        double work = Math.exp(logMean + logDeviation * random.nextGaussian());
-        if (isOverloadedCold(nowMicros, work)) {
+        double work = Math.exp(logMean + logStandardDeviation * random.nextGaussian());
+        if (crashIfOverloadedWhileCold(nowMicros, work)) {
             return;
         }
-        if (errorPart > 0 && random.nextDouble() < errorPart) {
-            attempt.client.reply(nowMicros, attempt, Outcome.ERROR);
-        } else if (running < model.cores()) {
-            hold(attempt);
+        if (errorFraction > 0 && random.nextDouble() < errorFraction) {
+            attempt.client.deliverOutcome(nowMicros, attempt, Outcome.ERROR);
+        } else if (busyCores < model.cores()) {
+            addInProgress(attempt);
             run(nowMicros, attempt, work);
         } else if (waiting.size() < model.queueCapacity()) {
-            hold(attempt);
+            addInProgress(attempt);
             waiting.add(attempt);
         } else {
-            attempt.client.reply(nowMicros, attempt, Outcome.REJECTED);
+            attempt.client.deliverOutcome(nowMicros, attempt, Outcome.REJECTED);
         }
     }
 
     /** Counts what reaches it while it is cold, and lets it fall over when that is too much. */
-    private boolean isOverloadedCold(long nowMicros, double work) {
-        if (!coldBudget.isCold(nowMicros)) {
+    private boolean crashIfOverloadedWhileCold(long nowMicros, double work) {
+        if (!coldStart.isCold(nowMicros)) {
             return false;
         }
-        double load = coldBudget.count(nowMicros, work / meanWorkMicros);
+        double load = coldStart.recordArrival(nowMicros, work / meanWorkMicros);
         context.measurements.coldAttemptArrived(load);
-        if (load > 1 && !fallen) {
-            fallen = true;
+        if (load > 1 && !crashedByOverload) {
+            crashedByOverload = true;
             context.measurements.coldUpstreamFailed();
             kill(nowMicros);
             context.listService.scheduleLossDetection(nowMicros, machine);
         }
-        return fallen;
+        return crashedByOverload;
     }
 
     private void run(long nowMicros, Attempt attempt, double workMicros) {
-        running++;
-        int ofLife = life;
-        long duration = Math.max(1, Math.round(workMicros * slowFactor / coldBudget.capacity(nowMicros)));
+        busyCores++;
+        int startIncarnation = incarnation;
+        long duration = Math.max(1, Math.round(workMicros * slowdownFactor / coldStart.capacityFraction(nowMicros)));
         context.queue.scheduleAt(nowMicros + duration, now -> {
-            if (life == ofLife) {
-                worked(now, attempt);
+            if (incarnation == startIncarnation) {
+                finishLocalWork(now, attempt);
             }
         });
     }
 
-    private void worked(long nowMicros, Attempt attempt) {
-        running--;
+    private void finishLocalWork(long nowMicros, Attempt attempt) {
+        busyCores--;
         runNext(nowMicros);
-        int ofLife = life;
-        int tries = context.experiment.calls().innerTries();
+        int startIncarnation = incarnation;
+        int maxTries = context.experiment.calls().innerTries();
         SimulatedSidecar sidecar = context.sidecars.get(machine.number());
-        FanOut.begin(context, sidecar, nowMicros, attempt.deadlineMicros, tries, (now, succeeded) -> {
-            if (life == ofLife) {
-                letGo(attempt);
-                attempt.client.reply(now, attempt, succeeded ? Outcome.OK : Outcome.ERROR);
+        FanOut.start(context, sidecar, nowMicros, attempt.deadlineMicros, maxTries, (now, succeeded) -> {
+            if (incarnation == startIncarnation) {
+                removeInProgress(attempt);
+                attempt.client.deliverOutcome(now, attempt, succeeded ? Outcome.OK : Outcome.ERROR);
             }
         });
     }
@@ -180,25 +180,25 @@
     private void runNext(long nowMicros) {
         Attempt next = waiting.poll();
         while (next != null && (next.ended || nowMicros >= next.deadlineMicros)) {
-            letGo(next);
+            removeInProgress(next);
             next = waiting.poll();
         }
         if (next != null) {
-            run(nowMicros, next, Math.exp(logMean + logDeviation * random.nextGaussian()));
+            run(nowMicros, next, Math.exp(logMean + logStandardDeviation * random.nextGaussian()));
         }
     }
 
-    private void hold(Attempt attempt) {
-        attempt.heldPlace = held.size();
-        held.add(attempt);
+    private void addInProgress(Attempt attempt) {
+        attempt.inProgressIndex = inProgress.size();
+        inProgress.add(attempt);
     }
 
-    private void letGo(Attempt attempt) {
-        Attempt last = held.remove(held.size() - 1);
+    private void removeInProgress(Attempt attempt) {
+        Attempt last = inProgress.remove(inProgress.size() - 1);
         if (last != attempt) {
-            held.set(attempt.heldPlace, last);
-            last.heldPlace = attempt.heldPlace;
+            inProgress.set(attempt.inProgressIndex, last);
+            last.inProgressIndex = attempt.inProgressIndex;
         }
-        attempt.heldPlace = -1;
+        attempt.inProgressIndex = -1;
     }
 }
--- a/scale/src/test/java/gradehub/scale/model/ColdReturnTest.java
+++ b/scale/src/test/java/gradehub/scale/model/ColdReturnTest.java
@@ -39,18 +39,18 @@
         budget.start(1_000_000);
         assertTrue(budget.isCold(20_999_999));
         assertFalse(budget.isCold(21_000_000));
-        assertEquals(0.1, budget.capacity(1_000_000), 1e-9);
-        assertEquals(0.55, budget.capacity(11_000_000), 1e-9);
-        assertEquals(1, budget.capacity(21_000_000), 1e-9);
+        assertEquals(0.1, budget.capacityFraction(1_000_000), 1e-9);
+        assertEquals(0.55, budget.capacityFraction(11_000_000), 1e-9);
+        assertEquals(1, budget.capacityFraction(21_000_000), 1e-9);
         double most = 80 + 2 * Math.sqrt(80) + 2; // 4 times a tenth of 100 a second, over 2 s
         double load = 0;
         for (int i = 0; i < 99; i++) {
-            load = budget.count(1_000_000, 1);
+            load = budget.recordArrival(1_000_000, 1);
         }
         assertEquals(99 / most, load, 1e-9);
         assertTrue(load <= 1);
-        assertTrue(budget.count(1_000_000, 1) > 1);
-        assertTrue(budget.count(3_000_001, 1) < 0.1, "the span has passed");
+        assertTrue(budget.recordArrival(1_000_000, 1) > 1);
+        assertTrue(budget.recordArrival(3_000_001, 1) < 0.1, "the span has passed");
     }
 
     /** The rule bites: the first request of an upstream that can take hardly any pushes it over. */
