--- a/sidecar/src/main/java/gradehub/EjectionState.java
+++ b/sidecar/src/main/java/gradehub/EjectionState.java
@@ -1,6 +1,6 @@
 package gradehub;
 
-/** Consecutive failures and, after an ejection, the time of the next trial request (exponential backoff). */
+/** The count of consecutive failures and, after an ejection, the exponential backoff of trial requests. */
 final class EjectionState {
 
     private static final double INITIAL_BACKOFF_MS = 250; // doubled before each trial, including the first
@@ -14,10 +14,10 @@
     void eject(double nowMs) {
         ejected = true;
         backoffMs = INITIAL_BACKOFF_MS;
-        trialSent(nowMs);
+        recordTrial(nowMs);
     }
 
-    void trialSent(double nowMs) {
+    void recordTrial(double nowMs) {
         backoffMs = Math.min(2 * backoffMs, MAX_BACKOFF_MS);
         nextTrialMs = nowMs + backoffMs;
     }
--- a/sidecar/src/main/java/gradehub/LoadShiftingBalancer.java
+++ b/sidecar/src/main/java/gradehub/LoadShiftingBalancer.java
@@ -333,7 +333,7 @@
     private void checkMembers(double nowMs) {
         for (UpstreamState upstream : members) {
             if (probesBeforeSend && upstream.ejection.ejected && !upstream.ejection.excludes(nowMs)) {
-                upstream.ejection.trialSent(nowMs);
+                upstream.ejection.recordTrial(nowMs);
                 actions.probe(upstream.id);
             }
             Attempt oldest = upstream.attempts.peekFirst();
--- a/sidecar/src/main/java/gradehub/OutlierEjection.java
+++ b/sidecar/src/main/java/gradehub/OutlierEjection.java
@@ -1,15 +1,15 @@
 package gradehub;
 
 /**
- * Takes upstreams out of the draw that are unresponsive (hung, paused, unreachable) or fail: by the silence
- * of the attempts in flight or by consecutive failures. Failures of one class eject for that class alone if
+ * Ejects upstreams that are unresponsive (hung, paused, unreachable) or fail: after a time without an answer
+ * to attempts in flight or after consecutive failures. Failures of one class eject for that class alone if
  * others are served. An answer ends an ejection; trial requests follow an exponential backoff.
  */
 final class OutlierEjection {
 
-    private static final int CONSECUTIVE_FAILURES = 3; // unlikely by chance
-    private static final double SILENCE = 3; // typical latencies, divided by the attempts in flight
-    private static final double MIN_SILENCE = 1.5; // typical latencies, however many attempts are in flight
+    private static final int CONSECUTIVE_FAILURES = 3; // so many in a row are unlikely by chance
+    private static final double ANSWER_TIMEOUT = 3; // in typical latencies, divided by the attempts in flight
+    private static final double MIN_ANSWER_TIMEOUT = 1.5; // in typical latencies, for any number in flight
 
     private final Balancer.Actions actions;
 
@@ -17,24 +17,24 @@
         this.actions = actions;
     }
 
-    /** Whether no request of the class may be sent there now, not even as a trial. */
+    /** Whether no request of the class may be sent to this upstream now, not even as a trial. */
     boolean excludes(double nowMs, UpstreamState upstream, ClassStats stats) {
         return upstream.ejection.excludes(nowMs) || upstream.ejection(stats).excludes(nowMs);
     }
 
     void recordAttempt(double nowMs, UpstreamState upstream, ClassStats stats) {
-        upstream.ejection.trialSent(nowMs);
-        upstream.ejection(stats).trialSent(nowMs);
+        upstream.ejection.recordTrial(nowMs);
+        upstream.ejection(stats).recordTrial(nowMs);
     }
 
     void recordFailure(double nowMs, UpstreamState upstream, ClassStats stats) {
-        EjectionState whole = upstream.ejection;
+        EjectionState overall = upstream.ejection;
         EjectionState ofClass = upstream.ejection(stats);
-        whole.failures++;
+        overall.failures++;
         ofClass.failures++;
-        if (whole.failures >= CONSECUTIVE_FAILURES) {
-            eject(nowMs, upstream, whole.failures + " consecutive failures");
-        } else if (!whole.ejected && !ofClass.ejected && ofClass.failures >= CONSECUTIVE_FAILURES) {
+        if (overall.failures >= CONSECUTIVE_FAILURES) {
+            eject(nowMs, upstream, overall.failures + " consecutive failures");
+        } else if (!overall.ejected && !ofClass.ejected && ofClass.failures >= CONSECUTIVE_FAILURES) {
             actions.log(upstream + " is ejected for class " + stats.spec.name() + " only: " + ofClass.failures
                     + " consecutive failures; sending trial requests");
             ofClass.eject(nowMs);
@@ -60,13 +60,13 @@
         }
     }
 
-    /** Ejects an upstream that is silent for too long; {@code oldest} is its oldest attempt in flight. */
+    /** Ejects an upstream without an answer for too long; {@code oldest} is its oldest attempt in flight. */
     void checkUnresponsive(double nowMs, UpstreamState upstream, Attempt oldest) {
-        double silentMs = nowMs - Math.max(upstream.lastAnswerMs, oldest.sentMs);
-        // A single attempt is often slow by chance; several at once hardly are.
-        double threshold = Math.max(SILENCE, oldest.call.stats.tailRatio) / upstream.inFlight;
-        if (silentMs > Math.max(MIN_SILENCE, threshold) * oldest.call.stats.medianMs) {
-            eject(nowMs, upstream, "no answer for " + Math.round(silentMs) + " ms");
+        double unansweredMs = nowMs - Math.max(upstream.lastAnswerMs, oldest.sentMs);
+        // A single attempt is often slow by chance; several at once rarely are.
+        double threshold = Math.max(ANSWER_TIMEOUT, oldest.call.stats.tailRatio) / upstream.inFlight;
+        if (unansweredMs > Math.max(MIN_ANSWER_TIMEOUT, threshold) * oldest.call.stats.medianMs) {
+            eject(nowMs, upstream, "no answer for " + Math.round(unansweredMs) + " ms");
         }
     }
 
