--- a/sidecar/src/main/java/gradehub/UpstreamState.java
+++ b/sidecar/src/main/java/gradehub/UpstreamState.java
@@ -7,12 +7,12 @@
 /** The state of one upstream since its latest start. */
 final class UpstreamState {
 
-    private static final double OVERLOADED = 1.3; // latency of an overloaded upstream, in baseline latencies
+    private static final double OVERLOAD_RATIO = 1.3; // latency of an overloaded upstream / baseline
 
     final int id;
     Balancer.Upstream listed; // latest entry from discovery
-    boolean consideredForSubset; // has been a candidate for the subset
-    double share; // weight in the random draw
+    boolean consideredForSubset; // whether it has ever been a candidate for the subset
+    double share; // weight in the random choice of an upstream
     double latencyRatioSum; // latency / median: samples of this tick, and decayed older ones if few
     double samples;
     double meanLatencyRatio; // mean of the samples at the last tick
@@ -23,9 +23,9 @@
     int inFlight;
     final ArrayDeque<Attempt> attempts = new ArrayDeque<>(); // in flight, oldest first, except streams
     double lastAnswerMs;
-    double load; // latency expected at the latest report, in baseline latencies
+    double load; // latency expected at the latest update, in baseline latencies
     double loadUpdatedMs = Double.NEGATIVE_INFINITY;
-    final EjectionState ejection = new EjectionState(); // for all classes
+    final EjectionState ejection = new EjectionState(); // for all classes together
     private final Map<ClassStats, EjectionState> classEjections = new HashMap<>(); // for single classes
     final TokenBucket slowStartBudget = new TokenBucket();
 
@@ -38,9 +38,9 @@
         return classEjections.computeIfAbsent(stats, unused -> new EjectionState());
     }
 
-    /** The relative margin of a latency below that of an overloaded upstream; negative if above. */
+    /** Returns the relative margin of a latency below that of an overloaded upstream; negative if above. */
     double headroom(ClassStats stats, double latencyMs) {
-        return OVERLOADED * stats.baselineMs() * baselineRatio / latencyMs - 1;
+        return OVERLOAD_RATIO * stats.baselineMs() * baselineRatio / latencyMs - 1;
     }
 
     void recordLatencyRatio(double latencyRatio) {
@@ -48,7 +48,7 @@
     }
 
     void tick() {
-        baselineRatio = Math.max(1, ClassStats.floor(baselineRatio, smoothedRatio, ClassStats.DRIFT));
+        baselineRatio = Math.max(1, ClassStats.trackMin(baselineRatio, smoothedRatio, ClassStats.DRIFT));
     }
 
     void updateLoad(double nowMs, double requestLoad) {
