--- a/sidecar/src/main/java/gradehub/LoadShedder.java
+++ b/sidecar/src/main/java/gradehub/LoadShedder.java
@@ -5,37 +5,37 @@
 import java.util.TreeSet;
 
 /**
- * The queue of requests that wait while all members are at their limits. Protects against overload: it serves
- * by value, then newest first, and sheds requests that can no longer be answered in time.
+ * The queue of requests that wait while all members are at their limits. Protects against overload: requests
+ * are served by value, then newest first, and shed if they can no longer be answered in time.
  */
 final class LoadShedder {
 
     private static final double MIN_TIME_LEFT = 2.5; // typical latencies; a request with less left is shed
-    private static final double MIN_TIME_LEFT_CAP = 0.65; // of the class's aim, for that
+    private static final double MIN_TIME_LEFT_CAP = 0.65; // upper bound on that, as a fraction of the aim
 
     final TreeSet<Call> queue = new TreeSet<>(
             Comparator.comparingDouble((Call call) -> -call.value).thenComparingLong(call -> -call.arrival));
-    private int shed; // requests in this tick
+    private int shedCount; // in this tick
     private boolean shedding;
 
-    /** Removes the requests that will be too late by the next control tick, for the caller to refuse. */
+    /** Removes the requests that will be too late by the next control tick; the caller must refuse them. */
     List<Call> shed(double nowMs, double controlMs) {
         List<Call> late = queue.stream()
                 .filter(call -> call.deadlineMs - nowMs <= Math.max(controlMs, minTimeLeftMs(call.stats)))
                 .toList();
-        shed += late.size();
+        shedCount += late.size();
         late.forEach(queue::remove);
         return late;
     }
 
-    /** Shedding early frees the client's connection; the cap keeps the order by value where all is slow. */
+    /** Shedding early frees the client's connection; the cap keeps the order by value if all is slow. */
     private static double minTimeLeftMs(ClassStats stats) {
         double capMs = MIN_TIME_LEFT_CAP * stats.spec.aimMs();
         return Math.max(stats.medianMs, Math.min(MIN_TIME_LEFT * stats.medianMs, capMs));
     }
 
     boolean hasShed() {
-        return shed > 0;
+        return shedCount > 0;
     }
 
     void tick(Balancer.Actions actions) {
@@ -43,6 +43,6 @@
             shedding = hasShed();
             actions.log(shedding ? "all members at their limits: shedding requests" : "load shedding ended");
         }
-        shed = 0;
+        shedCount = 0;
     }
 }
