--- a/scale/src/main/java/gradehub/scale/model/FaultSchedule.java
+++ b/scale/src/main/java/gradehub/scale/model/FaultSchedule.java
@@ -124,7 +124,7 @@
             ModelSidecar sidecar = sidecars.get(i);
             world.queue.scheduleAt(
                     from + spreadMicros * i / sidecars.size(),
-                    now -> sidecar.listClient().moveTo(now));
+                    now -> sidecar.listClient().changeAddress(now));
         }
     }
 }
--- a/scale/src/main/java/gradehub/scale/model/ListClient.java
+++ b/scale/src/main/java/gradehub/scale/model/ListClient.java
@@ -3,47 +3,48 @@
 import gradehub.Balancer.ListKind;
 import gradehub.DiscoveryTimeouts;
 
-/** A sidecar's client of the list service. It behaves as the network code's, with the same times. */
+/** A sidecar's client of the list service. It models the discovery client of the real sidecar and uses its timeouts. */
 final class ListClient {
 
-    private static final long SILENCE_MICROS = Math.round(DiscoveryTimeouts.IDLE_TIMEOUT_MS * World.MICROS_PER_MILLI);
-    private static final double CONNECT_MILLIS = DiscoveryTimeouts.CONNECT_TIMEOUT_MS;
+    private static final long IDLE_TIMEOUT_MICROS =
+            Math.round(DiscoveryTimeouts.IDLE_TIMEOUT_MS * World.MICROS_PER_MILLI);
+    private static final double CONNECT_TIMEOUT_MILLIS = DiscoveryTimeouts.CONNECT_TIMEOUT_MS;
 
     private final World world;
     private final ModelSidecar sidecar;
     private Watch watch;
     private int revision = -1;
-    private long heardMicros;
+    private long lastReceivedMicros;
     private long startedMicros;
-    /** Whether there has been no watch since an earlier one failed. */
-    private boolean lost;
-    /** When the sidecar was told of another list service from which it has no list yet, or -1. */
-    private long movedMicros = -1;
+    /** Whether a watch has failed and no update has arrived since. */
+    private boolean watchLost;
+    /** When the sidecar learned of a new address of the list service, or -1 if no list is awaited from one. */
+    private long addressChangedMicros = -1;
 
     ListClient(World world, ModelSidecar sidecar) {
         this.world = world;
         this.sidecar = sidecar;
     }
 
-    /** The latest revision in hand, or -1. */
+    /** The revision of the latest list received, or -1. */
     int revision() {
         return revision;
     }
 
-    /** Whether a list has come from the present list service and the watch stands. */
+    /** Whether the watch has been answered and no list is awaited after a failure or a change of address. */
     boolean hasActiveWatch() {
-        return watch != null && watch.answered && !lost && movedMicros < 0;
+        return watch != null && watch.answered && !watchLost && addressChangedMicros < 0;
     }
 
-    /** The process starts, with the list that it last had. */
+    /** Starts with the cached list of the sidecar, which is taken to be of the current revision. */
     void start(long nowMicros) {
         startedMicros = nowMicros;
         revision = world.listService.revision();
-        lost = false;
-        movedMicros = -1;
+        watchLost = false;
+        addressChangedMicros = -1;
     }
 
-    /** The process has ended. */
+    /** Closes the watch when the process ends. */
     void stop(long nowMicros) {
         close(nowMicros);
     }
@@ -52,85 +53,88 @@
         close(nowMicros);
         Watch opened = new Watch(this, sidecar.machine(), revision);
         watch = opened;
-        heardMicros = nowMicros;
-        if (world.listService.reaches(sidecar.machine())) {
-            long roundTripAndCall = 3 * world.network.listServiceDelayMicros(sidecar.machine());
-            world.queue.scheduleAt(nowMicros + roundTripAndCall, now -> world.listService.call(now, opened));
-            world.queue.scheduleAt(nowMicros + SILENCE_MICROS, now -> checkSilence(now, opened));
+        lastReceivedMicros = nowMicros;
+        if (world.listService.isReachableFrom(sidecar.machine())) {
+            // One round trip to connect, then the call.
+            long connectAndCallMicros = 3 * world.network.listServiceDelayMicros(sidecar.machine());
+            world.queue.scheduleAt(nowMicros + connectAndCallMicros, now -> world.listService.receiveCall(now, opened));
+            world.queue.scheduleAt(nowMicros + IDLE_TIMEOUT_MICROS, now -> checkIdleTimeout(now, opened));
         } else {
-            double millis = Math.min(CONNECT_MILLIS, world.network.model().connectTimeoutMillis());
-            world.queue.scheduleAt(nowMicros + Math.round(millis * World.MICROS_PER_MILLI), now -> ended(now, opened));
+            double timeoutMillis =
+                    Math.min(CONNECT_TIMEOUT_MILLIS, world.network.model().connectTimeoutMillis());
+            world.queue.scheduleAt(
+                    nowMicros + Math.round(timeoutMillis * World.MICROS_PER_MILLI), now -> watchEnded(now, opened));
         }
     }
 
-    /** The list service is at another address, whose whole list is asked for. */
-    void moveTo(long nowMicros) {
+    /** Opens a watch at a new address of the list service, where the sidecar asks for the full list. */
+    void changeAddress(long nowMicros) {
         if (sidecar.isRunning()) {
-            movedMicros = nowMicros;
+            addressChangedMicros = nowMicros;
             revision = -1;
             subscribe(nowMicros);
         }
     }
 
-    /** The watch has ended, or could not be opened. */
-    void ended(long nowMicros, Watch which) {
-        if (which != watch) {
+    /** Handles the end of a watch, or a failure to open it. */
+    void watchEnded(long nowMicros, Watch source) {
+        if (source != watch) {
             return;
         }
         close(nowMicros);
-        lost = true;
+        watchLost = true;
         sidecar.listFailed(nowMicros);
     }
 
-    /** Something has come over the watch; {@code update} is null for an empty line. */
-    void heard(long nowMicros, Watch which, ListUpdate update) {
-        if (which != watch) {
+    /** Handles data received on a watch; {@code update} is null for an empty line. */
+    void received(long nowMicros, Watch source, ListUpdate update) {
+        if (source != watch) {
             return;
         }
-        heardMicros = nowMicros;
+        lastReceivedMicros = nowMicros;
         if (update != null) {
-            measure(nowMicros, update);
+            recordDelays(nowMicros, update);
             revision = update.revision();
             sidecar.tell(nowMicros, update.complete() ? ListKind.FULL : ListKind.DELTA, update.entries());
         }
     }
 
-    private void measure(long nowMicros, ListUpdate update) {
+    private void recordDelays(long nowMicros, ListUpdate update) {
         long reachableMicros = Math.max(startedMicros, world.listService.reachableSinceMicros(sidecar.machine()));
-        if (lost) {
-            lost = false;
+        if (watchLost) {
+            watchLost = false;
             world.measurements.listRestored(nowMicros, nowMicros - reachableMicros);
         }
-        if (movedMicros >= 0) {
-            world.measurements.configured(nowMicros, nowMicros - movedMicros);
-            movedMicros = -1;
+        if (addressChangedMicros >= 0) {
+            world.measurements.configured(nowMicros, nowMicros - addressChangedMicros);
+            addressChangedMicros = -1;
         }
-        long oldest = Long.MAX_VALUE;
+        long oldestChangeMicros = Long.MAX_VALUE;
         for (ListEntry entry : update.entries()) {
             if (revision >= 0 && entry.revision() > revision) {
-                oldest = Math.min(oldest, entry.changedMicros());
+                oldestChangeMicros = Math.min(oldestChangeMicros, entry.changedMicros());
             }
         }
-        if (oldest < Long.MAX_VALUE) {
-            world.measurements.told(nowMicros, nowMicros - Math.max(oldest, reachableMicros));
+        if (oldestChangeMicros < Long.MAX_VALUE) {
+            world.measurements.told(nowMicros, nowMicros - Math.max(oldestChangeMicros, reachableMicros));
         }
     }
 
-    private void checkSilence(long nowMicros, Watch which) {
-        if (which != watch) {
+    private void checkIdleTimeout(long nowMicros, Watch source) {
+        if (source != watch) {
             return;
         }
-        if (nowMicros - heardMicros >= SILENCE_MICROS) {
-            ended(nowMicros, which);
+        if (nowMicros - lastReceivedMicros >= IDLE_TIMEOUT_MICROS) {
+            watchEnded(nowMicros, source);
         } else {
-            world.queue.scheduleAt(heardMicros + SILENCE_MICROS, now -> checkSilence(now, which));
+            world.queue.scheduleAt(lastReceivedMicros + IDLE_TIMEOUT_MICROS, now -> checkIdleTimeout(now, source));
         }
     }
 
     private void close(long nowMicros) {
         if (watch != null) {
-            watch.wanted = false;
-            world.listService.closedBySidecar(nowMicros, watch);
+            watch.openAtSidecar = false;
+            world.listService.closeFromSidecar(nowMicros, watch);
             watch = null;
         }
     }
--- a/scale/src/main/java/gradehub/scale/model/ListService.java
+++ b/scale/src/main/java/gradehub/scale/model/ListService.java
@@ -8,29 +8,31 @@
 import java.util.Set;
 
 /**
- * The list service: one server that handles calls one after another, each for a time. It answers a call for a watch with
- * what changed since the caller's revision or with the whole list, writes later changes to it, and an empty line every
- * two seconds. What it reads and writes is counted in the bytes of the protocol's messages.
+ * The simulated discovery service: a single server that handles calls sequentially, each for a fixed time plus a time
+ * per entry. It answers a call for a watch with the changes since the caller's revision or with the full list, pushes
+ * later changes over the watch and writes an empty line every two seconds. Traffic is counted in the byte lengths of
+ * the protocol's messages.
  */
 final class ListService {
 
-    private static final long LINE_MICROS = 2 * World.MICROS_PER_SECOND;
-    /** After that a connection to a machine that says nothing is given up. */
-    private static final long HALF_OPEN_MICROS = 15 * World.MICROS_PER_SECOND;
+    private static final long EMPTY_LINE_INTERVAL_MICROS = 2 * World.MICROS_PER_SECOND;
+    /** Time after which a half-open connection, whose peer has become unreachable, is closed. */
+    private static final long HALF_OPEN_TIMEOUT_MICROS = 15 * World.MICROS_PER_SECOND;
 
     private final World world;
     private final ListServiceModel model;
     private final ListEntry[] entries;
-    private final List<List<Topology.Machine>> scopes = new ArrayList<>();
-    /** Calls that wait and watches that are open, in the order in which they came. */
-    private final Set<Watch> callers = new LinkedHashSet<>();
+    /** The machines in the lists of a service's sidecars, by service number. */
+    private final List<List<Topology.Machine>> listedMachines = new ArrayList<>();
+    /** Pending calls and open watches, in order of arrival. */
+    private final Set<Watch> watches = new LinkedHashSet<>();
 
     private int revision = 1;
     private boolean up = true;
-    private int life;
+    private int outageCount;
     private long upSinceMicros;
     private long busyUntilMicros;
-    private boolean pushDue;
+    private boolean pushScheduled;
 
     ListService(World world) {
         this.world = world;
@@ -40,7 +42,7 @@
             entries[machine.number()] = newEntry(machine, ListEntry.Phase.ACTIVE, -1, 0);
         }
         for (Topology.Service service : world.topology.services) {
-            scopes.add(model.scope() == Scope.FLEET ? world.topology.machines : machinesOf(service.called()));
+            listedMachines.add(model.scope() == Scope.FLEET ? world.topology.machines : machinesOf(service.called()));
         }
     }
 
@@ -55,19 +57,19 @@
         return revision;
     }
 
-    boolean reaches(Topology.Machine machine) {
+    boolean isReachableFrom(Topology.Machine machine) {
         return !world.upstreams.get(machine.number()).isSilent() && world.network.reachesListService(machine);
     }
 
-    /** Since when it is up and the path from this machine is whole. */
+    /** The time since when the service has been up and not partitioned from this machine. */
     long reachableSinceMicros(Topology.Machine machine) {
         return Math.max(upSinceMicros, world.network.listServiceJoinedMicros(machine));
     }
 
-    /** The list of this machine's sidecar as it stands now, without those that have left. */
+    /** The current list for this machine's sidecar, without machines that have left. */
     List<ListEntry> fullList(Topology.Machine machine) {
         List<ListEntry> list = new ArrayList<>();
-        for (Topology.Machine other : scopes.get(machine.service())) {
+        for (Topology.Machine other : listedMachines.get(machine.service())) {
             ListEntry entry = entries[other.number()];
             if (entry.phase() != ListEntry.Phase.LEFT) {
                 list.add(entry);
@@ -76,24 +78,24 @@
         return list;
     }
 
-    // ---- Changes of the list.
+    // ---- Changes to the list.
 
-    /** A machine's entry changes now. */
+    /** Updates a machine's entry under a new revision and schedules a push; does nothing if the entry is unchanged. */
     void updateEntry(long nowMicros, Topology.Machine machine, ListEntry.Phase phase, long startedMicros) {
-        ListEntry old = entries[machine.number()];
-        if (old.phase() == phase && old.startedMicros() == startedMicros) {
+        ListEntry previous = entries[machine.number()];
+        if (previous.phase() == phase && previous.startedMicros() == startedMicros) {
             return;
         }
         revision++;
         entries[machine.number()] = newEntry(machine, phase, startedMicros, nowMicros);
         world.measurements.changed(nowMicros);
-        if (!pushDue) {
-            pushDue = true;
-            world.queue.scheduleAt(nowMicros + model.pushPeriodMillis() * World.MICROS_PER_MILLI, this::push);
+        if (!pushScheduled) {
+            pushScheduled = true;
+            world.queue.scheduleAt(nowMicros + model.pushPeriodMillis() * World.MICROS_PER_MILLI, this::pushChanges);
         }
     }
 
-    /** A machine has been lost; that shows in the list after a while, unless it has started anew by then. */
+    /** Lists a lost machine as left after the detection delay, unless it has restarted by then. */
     void scheduleLossDetection(long nowMicros, Topology.Machine machine) {
         world.queue.scheduleAt(nowMicros + model.lossDetectionMillis() * World.MICROS_PER_MILLI, now -> {
             if (!world.upstreams.get(machine.number()).isUp()) {
@@ -108,23 +110,23 @@
         return ListEntry.of(machine, zone, phase, startedMicros, revision, changedMicros);
     }
 
-    private void push(long nowMicros) {
-        pushDue = false;
+    private void pushChanges(long nowMicros) {
+        pushScheduled = false;
         if (!up) {
             return;
         }
-        for (Watch watch : callers) {
+        for (Watch watch : watches) {
             List<ListEntry> changes = watch.answered ? changesSince(watch) : List.of();
             if (!changes.isEmpty()) {
-                long writtenMicros = serve(nowMicros, model.entryMicros() * changes.size());
-                write(writtenMicros, watch, new ListUpdate(revision, false, changes), 0);
+                long writtenMicros = occupyServer(nowMicros, model.entryMicros() * changes.size());
+                writeUpdate(writtenMicros, watch, new ListUpdate(revision, false, changes), 0);
             }
         }
     }
 
     private List<ListEntry> changesSince(Watch watch) {
         List<ListEntry> changes = new ArrayList<>();
-        for (Topology.Machine other : scopes.get(watch.machine.service())) {
+        for (Topology.Machine other : listedMachines.get(watch.machine.service())) {
             if (entries[other.number()].revision() > watch.revision) {
                 changes.add(entries[other.number()]);
             }
@@ -134,113 +136,116 @@
 
     // ---- Calls.
 
-    /** A call for a watch has come in. */
-    void call(long nowMicros, Watch watch) {
+    /** Handles a call for a watch. */
+    void receiveCall(long nowMicros, Watch watch) {
         if (!up) {
-            tellEnded(nowMicros, watch);
+            notifyEnded(nowMicros, watch);
             return;
         }
         world.measurements.listCall(nowMicros, ListJson.callBytes(watch.revision));
         long waitMicros = Math.max(0, busyUntilMicros - nowMicros);
         long timeoutMicros = model.timeoutMillis() * World.MICROS_PER_MILLI;
-        if (callers.size() >= model.maxCallers()) {
-            fail(nowMicros, watch);
+        if (watches.size() >= model.maxCallers()) {
+            failCall(nowMicros, watch);
         } else if (waitMicros > timeoutMicros) {
-            callers.add(watch);
-            atThisLife(nowMicros + timeoutMicros, now -> fail(now, watch));
+            watches.add(watch);
+            scheduleUnlessOutage(nowMicros + timeoutMicros, now -> failCall(now, watch));
         } else {
-            callers.add(watch);
+            watches.add(watch);
             long costMicros = model.callMicros()
-                    + model.entryMicros() * answerTo(watch).entries().size();
-            atThisLife(serve(nowMicros, costMicros), now -> answer(now, watch));
+                    + model.entryMicros() * buildAnswer(watch).entries().size();
+            scheduleUnlessOutage(occupyServer(nowMicros, costMicros), now -> sendAnswer(now, watch));
         }
     }
 
-    /** Holds the server for a while once it is free, and tells when that ends. */
-    private long serve(long nowMicros, long costMicros) {
+    /** Occupies the server for a time once it is free; returns when that time ends. */
+    private long occupyServer(long nowMicros, long costMicros) {
         busyUntilMicros = Math.max(busyUntilMicros, nowMicros) + costMicros;
         world.measurements.listServiceBusy(nowMicros, costMicros, busyUntilMicros - nowMicros);
         return busyUntilMicros;
     }
 
-    private ListUpdate answerTo(Watch watch) {
-        boolean changesAlone = watch.revision >= 0 && revision - watch.revision <= model.retainedRevisions();
-        return changesAlone
+    private ListUpdate buildAnswer(Watch watch) {
+        boolean deltaSuffices = watch.revision >= 0 && revision - watch.revision <= model.retainedRevisions();
+        return deltaSuffices
                 ? new ListUpdate(revision, false, changesSince(watch))
                 : new ListUpdate(revision, true, fullList(watch.machine));
     }
 
-    private void answer(long nowMicros, Watch watch) {
-        if (!callers.contains(watch)) {
+    private void sendAnswer(long nowMicros, Watch watch) {
+        if (!watches.contains(watch)) {
             return;
         }
         watch.answered = true;
-        write(nowMicros, watch, answerTo(watch), ListJson.headBytes());
-        atThisLife(nowMicros + LINE_MICROS, now -> writeLine(now, watch));
+        writeUpdate(nowMicros, watch, buildAnswer(watch), ListJson.headBytes());
+        scheduleUnlessOutage(nowMicros + EMPTY_LINE_INTERVAL_MICROS, now -> writeEmptyLine(now, watch));
     }
 
-    private void fail(long nowMicros, Watch watch) {
-        callers.remove(watch);
+    private void failCall(long nowMicros, Watch watch) {
+        watches.remove(watch);
         world.measurements.listCallFailed(nowMicros, ListJson.FAILURE_BYTES);
-        tellEnded(nowMicros, watch);
+        notifyEnded(nowMicros, watch);
     }
 
-    private void write(long nowMicros, Watch watch, ListUpdate update, int headBytes) {
+    private void writeUpdate(long nowMicros, Watch watch, ListUpdate update, int headBytes) {
         watch.revision = update.revision();
         int bytes = headBytes + ListJson.messageBytes(update.revision(), update.complete(), update.entries());
         world.measurements.listWritten(nowMicros, bytes, update.complete());
         deliver(nowMicros, watch, update);
     }
 
-    private void writeLine(long nowMicros, Watch watch) {
-        if (callers.contains(watch)) {
-            world.measurements.listLine(nowMicros, ListJson.LINE_OF_LIFE_BYTES);
+    private void writeEmptyLine(long nowMicros, Watch watch) {
+        if (watches.contains(watch)) {
+            world.measurements.listLine(nowMicros, ListJson.EMPTY_LINE_BYTES);
             deliver(nowMicros, watch, null);
-            atThisLife(nowMicros + LINE_MICROS, now -> writeLine(now, watch));
+            scheduleUnlessOutage(nowMicros + EMPTY_LINE_INTERVAL_MICROS, now -> writeEmptyLine(now, watch));
         }
     }
 
     private void deliver(long nowMicros, Watch watch, ListUpdate update) {
-        if (reaches(watch.machine)) {
+        if (isReachableFrom(watch.machine)) {
             long delay = world.network.listServiceDelayMicros(watch.machine);
-            world.queue.scheduleAt(nowMicros + delay, now -> watch.client.heard(now, watch, update));
+            world.queue.scheduleAt(nowMicros + delay, now -> watch.client.received(now, watch, update));
         }
     }
 
-    private void tellEnded(long nowMicros, Watch watch) {
-        if (reaches(watch.machine)) {
+    private void notifyEnded(long nowMicros, Watch watch) {
+        if (isReachableFrom(watch.machine)) {
             long delay = world.network.listServiceDelayMicros(watch.machine);
-            world.queue.scheduleAt(nowMicros + delay, now -> watch.client.ended(now, watch));
+            world.queue.scheduleAt(nowMicros + delay, now -> watch.client.watchEnded(now, watch));
         }
     }
 
-    /** A sidecar has closed a watch; over a cut path that shows much later. */
-    void closedBySidecar(long nowMicros, Watch watch) {
-        long delay = reaches(watch.machine) ? world.network.listServiceDelayMicros(watch.machine) : HALF_OPEN_MICROS;
-        world.queue.scheduleAt(nowMicros + delay, now -> callers.remove(watch));
+    /** Handles the close of a watch by its sidecar, which goes unnoticed for much longer if the path is cut. */
+    void closeFromSidecar(long nowMicros, Watch watch) {
+        long delay = isReachableFrom(watch.machine)
+                ? world.network.listServiceDelayMicros(watch.machine)
+                : HALF_OPEN_TIMEOUT_MICROS;
+        world.queue.scheduleAt(nowMicros + delay, now -> watches.remove(watch));
     }
 
     // ---- Outages.
 
-    /** It goes down: its connections are reset, and new ones refused. */
+    /** Takes the service down: open connections are reset and new ones refused. */
     void startOutage(long nowMicros) {
         up = false;
-        life++;
-        callers.forEach(watch -> tellEnded(nowMicros, watch));
-        callers.clear();
+        outageCount++;
+        watches.forEach(watch -> notifyEnded(nowMicros, watch));
+        watches.clear();
     }
 
-    /** It is back, with the list as it is by now. */
+    /** Brings the service back up, with a list that includes the changes during the outage. */
     void endOutage(long nowMicros) {
         up = true;
         upSinceMicros = nowMicros;
         busyUntilMicros = nowMicros;
     }
 
-    private void atThisLife(long timeMicros, Event event) {
-        int ofLife = life;
+    /** Schedules an event that is skipped if an outage starts before it. */
+    private void scheduleUnlessOutage(long timeMicros, Event event) {
+        int outagesBefore = outageCount;
         world.queue.scheduleAt(timeMicros, now -> {
-            if (life == ofLife) {
+            if (outageCount == outagesBefore) {
                 event.fire(now);
             }
         });
--- a/scale/src/main/java/gradehub/scale/model/Watch.java
+++ b/scale/src/main/java/gradehub/scale/model/Watch.java
@@ -1,15 +1,15 @@
 package gradehub.scale.model;
 
-/** One call for a watch on the list, at both of its ends. */
+/** A call for a watch on the list, with its state at the sidecar and at the list service. */
 final class Watch {
 
     final ListClient client;
     final Topology.Machine machine;
-    /** Whether the sidecar still waits for it. */
-    boolean wanted = true;
-    /** Whether the list service has answered it and writes changes to it. */
+    /** Whether the sidecar keeps the watch open. */
+    boolean openAtSidecar = true;
+    /** Whether the list service has answered the call and pushes changes. */
     boolean answered;
-    /** The revision that the list service has written last, or that the sidecar said it has; negative for none. */
+    /** The revision last written by the list service or, before that, stated in the call; negative for none. */
     int revision;
 
     Watch(ListClient client, Topology.Machine machine, int revision) {
--- a/scale/src/test/java/gradehub/scale/model/ListJsonTest.java
+++ b/scale/src/test/java/gradehub/scale/model/ListJsonTest.java
@@ -26,7 +26,7 @@
     @Test
     void anEntryHasTheFormOfTheProtocol() throws IOException {
         JsonNode example = JSON.readTree(PROTOCOL_EXAMPLE);
-        byte[] made = ListJson.member(new Topology.Machine(18, 3, 1, 0), "a", ListEntry.Phase.ACTIVE, -1);
+        byte[] made = ListJson.encodeMember(new Topology.Machine(18, 3, 1, 0), "a", ListEntry.Phase.ACTIVE, -1);
         ObjectNode entry = (ObjectNode) JSON.readTree(made);
         List<String> names = new ArrayList<>();
         entry.fieldNames().forEachRemaining(names::add);
@@ -46,7 +46,7 @@
             for (int i = 0; i < count; i++) {
                 ListEntry.Phase phase = ListEntry.Phase.values()[i % 3];
                 entries.add(entry(i, phase, i * 1000 - 1));
-                members.add(JSON.readTree(ListJson.member(entries.get(i).machine(), "a", phase, i * 1000 - 1)));
+                members.add(JSON.readTree(ListJson.encodeMember(entries.get(i).machine(), "a", phase, i * 1000 - 1)));
             }
             int chunk = line(members).length();
             int framed = Integer.toHexString(chunk).length() + 2 + chunk + 2;
@@ -62,7 +62,7 @@
 
     @Test
     void anEmptyLineIsAChunkOfOneByte() {
-        assertEquals("1\r\n\n\r\n".length(), ListJson.LINE_OF_LIFE_BYTES);
+        assertEquals("1\r\n\n\r\n".length(), ListJson.EMPTY_LINE_BYTES);
     }
 
     @Test
--- a/scale/src/test/java/gradehub/scale/model/ListServiceTest.java
+++ b/scale/src/test/java/gradehub/scale/model/ListServiceTest.java
@@ -57,7 +57,7 @@
         long lines = 0;
         for (ModelSidecar sidecar : world.sidecars) {
             // A watch lasts to the end of the run, or until 15 s after its machine has fallen silent.
-            lines += ListJson.LINE_OF_LIFE_BYTES * 5;
+            lines += ListJson.EMPTY_LINE_BYTES * 5;
             assertTrue(sidecar.isRunning()
                     || !world.upstreams.get(sidecar.machine().number()).isUp());
         }
