--- a/scale/src/main/java/gradehub/scale/model/ListClient.java
+++ b/scale/src/main/java/gradehub/scale/model/ListClient.java
@@ -7,10 +7,10 @@
 final class ListClient {
 
     private static final long IDLE_TIMEOUT_MICROS =
-            Math.round(DiscoveryTimeouts.IDLE_TIMEOUT_MS * World.MICROS_PER_MILLI);
+            Math.round(DiscoveryTimeouts.IDLE_TIMEOUT_MS * SimulationContext.MICROS_PER_MILLI);
     private static final double CONNECT_TIMEOUT_MILLIS = DiscoveryTimeouts.CONNECT_TIMEOUT_MS;
 
-    private final World world;
+    private final SimulationContext context;
     private final ModelSidecar sidecar;
     private Watch watch;
     private int revision = -1;
@@ -21,8 +21,8 @@
     /** When the sidecar learned of a new address of the list service, or -1 if no list is awaited from one. */
     private long addressChangedMicros = -1;
 
-    ListClient(World world, ModelSidecar sidecar) {
-        this.world = world;
+    ListClient(SimulationContext context, ModelSidecar sidecar) {
+        this.context = context;
         this.sidecar = sidecar;
     }
 
@@ -39,7 +39,7 @@
     /** Starts with the cached list of the sidecar, which is taken to be of the current revision. */
     void start(long nowMicros) {
         startedMicros = nowMicros;
-        revision = world.listService.revision();
+        revision = context.listService.revision();
         watchLost = false;
         addressChangedMicros = -1;
     }
@@ -54,16 +54,18 @@
         Watch opened = new Watch(this, sidecar.machine(), revision);
         watch = opened;
         lastReceivedMicros = nowMicros;
-        if (world.listService.isReachableFrom(sidecar.machine())) {
+        if (context.listService.isReachableFrom(sidecar.machine())) {
             // One round trip to connect, then the call.
-            long connectAndCallMicros = 3 * world.network.listServiceDelayMicros(sidecar.machine());
-            world.queue.scheduleAt(nowMicros + connectAndCallMicros, now -> world.listService.receiveCall(now, opened));
-            world.queue.scheduleAt(nowMicros + IDLE_TIMEOUT_MICROS, now -> checkIdleTimeout(now, opened));
+            long connectAndCallMicros = 3 * context.network.listServiceDelayMicros(sidecar.machine());
+            context.queue.scheduleAt(
+                    nowMicros + connectAndCallMicros, now -> context.listService.receiveCall(now, opened));
+            context.queue.scheduleAt(nowMicros + IDLE_TIMEOUT_MICROS, now -> checkIdleTimeout(now, opened));
         } else {
             double timeoutMillis =
-                    Math.min(CONNECT_TIMEOUT_MILLIS, world.network.model().connectTimeoutMillis());
-            world.queue.scheduleAt(
-                    nowMicros + Math.round(timeoutMillis * World.MICROS_PER_MILLI), now -> watchEnded(now, opened));
+                    Math.min(CONNECT_TIMEOUT_MILLIS, context.network.model().connectTimeoutMillis());
+            context.queue.scheduleAt(
+                    nowMicros + Math.round(timeoutMillis * SimulationContext.MICROS_PER_MILLI),
+                    now -> watchEnded(now, opened));
         }
     }
 
@@ -100,13 +102,13 @@
     }
 
     private void recordDelays(long nowMicros, ListUpdate update) {
-        long reachableMicros = Math.max(startedMicros, world.listService.reachableSinceMicros(sidecar.machine()));
+        long reachableMicros = Math.max(startedMicros, context.listService.reachableSinceMicros(sidecar.machine()));
         if (watchLost) {
             watchLost = false;
-            world.measurements.listRestored(nowMicros, nowMicros - reachableMicros);
+            context.measurements.watchRestored(nowMicros, nowMicros - reachableMicros);
         }
         if (addressChangedMicros >= 0) {
-            world.measurements.configured(nowMicros, nowMicros - addressChangedMicros);
+            context.measurements.listServiceMoved(nowMicros, nowMicros - addressChangedMicros);
             addressChangedMicros = -1;
         }
         long oldestChangeMicros = Long.MAX_VALUE;
@@ -116,7 +118,8 @@
             }
         }
         if (oldestChangeMicros < Long.MAX_VALUE) {
-            world.measurements.told(nowMicros, nowMicros - Math.max(oldestChangeMicros, reachableMicros));
+            context.measurements.listChangeReceived(
+                    nowMicros, nowMicros - Math.max(oldestChangeMicros, reachableMicros));
         }
     }
 
@@ -127,14 +130,14 @@
         if (nowMicros - lastReceivedMicros >= IDLE_TIMEOUT_MICROS) {
             watchEnded(nowMicros, source);
         } else {
-            world.queue.scheduleAt(lastReceivedMicros + IDLE_TIMEOUT_MICROS, now -> checkIdleTimeout(now, source));
+            context.queue.scheduleAt(lastReceivedMicros + IDLE_TIMEOUT_MICROS, now -> checkIdleTimeout(now, source));
         }
     }
 
     private void close(long nowMicros) {
         if (watch != null) {
             watch.openAtSidecar = false;
-            world.listService.closeFromSidecar(nowMicros, watch);
+            context.listService.closeFromSidecar(nowMicros, watch);
             watch = null;
         }
     }
--- a/scale/src/main/java/gradehub/scale/model/ListJson.java
+++ b/scale/src/main/java/gradehub/scale/model/ListJson.java
@@ -43,7 +43,7 @@
 
     /** Encodes an entry as JSON. */
     static byte[] encodeMember(Topology.Machine machine, String zone, ListEntry.Phase phase, long startedMicros) {
-        long upSince = startedMicros < 0 ? 0 : RUN_START_UNIX_MS + startedMicros / World.MICROS_PER_MILLI;
+        long upSince = startedMicros < 0 ? 0 : RUN_START_UNIX_MS + startedMicros / SimulationContext.MICROS_PER_MILLI;
         String id = String.format("s-%08x", machine.number() * 0x9E3779B1);
         String address = "10." + machine.zone() + "." + machine.number() / 256 + "." + machine.number() % 256;
         return toJson(
--- a/scale/src/main/java/gradehub/scale/model/ListService.java
+++ b/scale/src/main/java/gradehub/scale/model/ListService.java
@@ -15,11 +15,11 @@
  */
 final class ListService {
 
-    private static final long EMPTY_LINE_INTERVAL_MICROS = 2 * World.MICROS_PER_SECOND;
+    private static final long EMPTY_LINE_INTERVAL_MICROS = 2 * SimulationContext.MICROS_PER_SECOND;
     /** Time after which a half-open connection, whose peer has become unreachable, is closed. */
-    private static final long HALF_OPEN_TIMEOUT_MICROS = 15 * World.MICROS_PER_SECOND;
+    private static final long HALF_OPEN_TIMEOUT_MICROS = 15 * SimulationContext.MICROS_PER_SECOND;
 
-    private final World world;
+    private final SimulationContext context;
     private final ListServiceModel model;
     private final ListEntry[] entries;
     /** The machines in the lists of a service's sidecars, by service number. */
@@ -34,22 +34,23 @@
     private long busyUntilMicros;
     private boolean pushScheduled;
 
-    ListService(World world) {
-        this.world = world;
-        this.model = world.experiment.listService();
-        this.entries = new ListEntry[world.topology.machines.size()];
-        for (Topology.Machine machine : world.topology.machines) {
+    ListService(SimulationContext context) {
+        this.context = context;
+        this.model = context.experiment.listService();
+        this.entries = new ListEntry[context.topology.machines.size()];
+        for (Topology.Machine machine : context.topology.machines) {
             entries[machine.number()] = newEntry(machine, ListEntry.Phase.ACTIVE, -1, 0);
         }
-        for (Topology.Service service : world.topology.services) {
-            listedMachines.add(model.scope() == Scope.FLEET ? world.topology.machines : machinesOf(service.called()));
+        for (Topology.Service service : context.topology.services) {
+            listedMachines.add(
+                    model.scope() == Scope.FLEET ? context.topology.machines : machinesOf(service.callees()));
         }
     }
 
     private List<Topology.Machine> machinesOf(List<Integer> services) {
         List<Topology.Machine> machines = new ArrayList<>();
-        services.forEach(
-                service -> machines.addAll(world.topology.services.get(service).machines()));
+        services.forEach(service ->
+                machines.addAll(context.topology.services.get(service).machines()));
         return machines;
     }
 
@@ -58,12 +59,12 @@
     }
 
     boolean isReachableFrom(Topology.Machine machine) {
-        return !world.upstreams.get(machine.number()).isSilent() && world.network.reachesListService(machine);
+        return !context.upstreams.get(machine.number()).isSilent() && context.network.isListServiceReachable(machine);
     }
 
     /** The time since when the service has been up and not partitioned from this machine. */
     long reachableSinceMicros(Topology.Machine machine) {
-        return Math.max(upSinceMicros, world.network.listServiceJoinedMicros(machine));
+        return Math.max(upSinceMicros, context.network.listServiceReconnectedMicros(machine));
     }
 
     /** The current list for this machine's sidecar, without machines that have left. */
@@ -88,17 +89,18 @@
         }
         revision++;
         entries[machine.number()] = newEntry(machine, phase, startedMicros, nowMicros);
-        world.measurements.changed(nowMicros);
+        context.measurements.listEntryChanged(nowMicros);
         if (!pushScheduled) {
             pushScheduled = true;
-            world.queue.scheduleAt(nowMicros + model.pushPeriodMillis() * World.MICROS_PER_MILLI, this::pushChanges);
+            context.queue.scheduleAt(
+                    nowMicros + model.pushPeriodMillis() * SimulationContext.MICROS_PER_MILLI, this::pushChanges);
         }
     }
 
     /** Lists a lost machine as left after the detection delay, unless it has restarted by then. */
     void scheduleLossDetection(long nowMicros, Topology.Machine machine) {
-        world.queue.scheduleAt(nowMicros + model.lossDetectionMillis() * World.MICROS_PER_MILLI, now -> {
-            if (!world.upstreams.get(machine.number()).isUp()) {
+        context.queue.scheduleAt(nowMicros + model.lossDetectionMillis() * SimulationContext.MICROS_PER_MILLI, now -> {
+            if (!context.upstreams.get(machine.number()).isUp()) {
                 updateEntry(now, machine, ListEntry.Phase.LEFT, entries[machine.number()].startedMicros());
             }
         });
@@ -106,7 +108,7 @@
 
     private ListEntry newEntry(
             Topology.Machine machine, ListEntry.Phase phase, long startedMicros, long changedMicros) {
-        String zone = world.topology.zones.get(machine.zone()).name();
+        String zone = context.topology.zones.get(machine.zone()).name();
         return ListEntry.of(machine, zone, phase, startedMicros, revision, changedMicros);
     }
 
@@ -142,9 +144,9 @@
             notifyEnded(nowMicros, watch);
             return;
         }
-        world.measurements.listCall(nowMicros, ListJson.callBytes(watch.revision));
+        context.measurements.listCallReceived(nowMicros, ListJson.callBytes(watch.revision));
         long waitMicros = Math.max(0, busyUntilMicros - nowMicros);
-        long timeoutMicros = model.timeoutMillis() * World.MICROS_PER_MILLI;
+        long timeoutMicros = model.timeoutMillis() * SimulationContext.MICROS_PER_MILLI;
         if (watches.size() >= model.maxCallers()) {
             failCall(nowMicros, watch);
         } else if (waitMicros > timeoutMicros) {
@@ -161,7 +163,7 @@
     /** Occupies the server for a time once it is free; returns when that time ends. */
     private long occupyServer(long nowMicros, long costMicros) {
         busyUntilMicros = Math.max(busyUntilMicros, nowMicros) + costMicros;
-        world.measurements.listServiceBusy(nowMicros, costMicros, busyUntilMicros - nowMicros);
+        context.measurements.listServiceBusy(nowMicros, costMicros, busyUntilMicros - nowMicros);
         return busyUntilMicros;
     }
 
@@ -183,20 +185,20 @@
 
     private void failCall(long nowMicros, Watch watch) {
         watches.remove(watch);
-        world.measurements.listCallFailed(nowMicros, ListJson.FAILURE_BYTES);
+        context.measurements.listCallFailed(nowMicros, ListJson.FAILURE_BYTES);
         notifyEnded(nowMicros, watch);
     }
 
     private void writeUpdate(long nowMicros, Watch watch, ListUpdate update, int headBytes) {
         watch.revision = update.revision();
         int bytes = headBytes + ListJson.messageBytes(update.revision(), update.complete(), update.entries());
-        world.measurements.listWritten(nowMicros, bytes, update.complete());
+        context.measurements.listMessageWritten(nowMicros, bytes, update.complete());
         deliver(nowMicros, watch, update);
     }
 
     private void writeEmptyLine(long nowMicros, Watch watch) {
         if (watches.contains(watch)) {
-            world.measurements.listLine(nowMicros, ListJson.EMPTY_LINE_BYTES);
+            context.measurements.listKeepAliveWritten(nowMicros, ListJson.EMPTY_LINE_BYTES);
             deliver(nowMicros, watch, null);
             scheduleUnlessOutage(nowMicros + EMPTY_LINE_INTERVAL_MICROS, now -> writeEmptyLine(now, watch));
         }
@@ -204,24 +206,24 @@
 
     private void deliver(long nowMicros, Watch watch, ListUpdate update) {
         if (isReachableFrom(watch.machine)) {
-            long delay = world.network.listServiceDelayMicros(watch.machine);
-            world.queue.scheduleAt(nowMicros + delay, now -> watch.client.received(now, watch, update));
+            long delay = context.network.listServiceDelayMicros(watch.machine);
+            context.queue.scheduleAt(nowMicros + delay, now -> watch.client.received(now, watch, update));
         }
     }
 
     private void notifyEnded(long nowMicros, Watch watch) {
         if (isReachableFrom(watch.machine)) {
-            long delay = world.network.listServiceDelayMicros(watch.machine);
-            world.queue.scheduleAt(nowMicros + delay, now -> watch.client.watchEnded(now, watch));
+            long delay = context.network.listServiceDelayMicros(watch.machine);
+            context.queue.scheduleAt(nowMicros + delay, now -> watch.client.watchEnded(now, watch));
         }
     }
 
     /** Handles the close of a watch by its sidecar, which goes unnoticed for much longer if the path is cut. */
     void closeFromSidecar(long nowMicros, Watch watch) {
         long delay = isReachableFrom(watch.machine)
-                ? world.network.listServiceDelayMicros(watch.machine)
+                ? context.network.listServiceDelayMicros(watch.machine)
                 : HALF_OPEN_TIMEOUT_MICROS;
-        world.queue.scheduleAt(nowMicros + delay, now -> watches.remove(watch));
+        context.queue.scheduleAt(nowMicros + delay, now -> watches.remove(watch));
     }
 
     // ---- Outages.
@@ -244,7 +246,7 @@
     /** Schedules an event that is skipped if an outage starts before it. */
     private void scheduleUnlessOutage(long timeMicros, Event event) {
         int outagesBefore = outageCount;
-        world.queue.scheduleAt(timeMicros, now -> {
+        context.queue.scheduleAt(timeMicros, now -> {
             if (outageCount == outagesBefore) {
                 event.fire(now);
             }
