--- a/scale/src/main/java/gradehub/scale/model/FaultSchedule.java
+++ b/scale/src/main/java/gradehub/scale/model/FaultSchedule.java
@@ -26,9 +26,16 @@
         long from = SimulationContext.toMicros(fault.startSeconds());
         long until = SimulationContext.toMicros(fault.startSeconds() + fault.durationSeconds());
         if (fault instanceof Fault.UpstreamsFail fail) {
-            onPart(from, until, fail.layer(), fail.fraction(), ModelUpstream::setErrorPart, fail.errorFraction(), 0);
+            onPart(
+                    from,
+                    until,
+                    fail.layer(),
+                    fail.fraction(),
+                    SimulatedUpstream::setErrorFraction,
+                    fail.errorFraction(),
+                    0);
         } else if (fault instanceof Fault.UpstreamsSlow slow) {
-            onPart(from, until, slow.layer(), slow.fraction(), ModelUpstream::setSlowFactor, slow.factor(), 1);
+            onPart(from, until, slow.layer(), slow.fraction(), SimulatedUpstream::setSlowdownFactor, slow.factor(), 1);
         } else if (fault instanceof Fault.MachinesLost lost) {
             lose(from, until, drawn(lost.count()));
         } else if (fault instanceof Fault.Restarts restarts) {
@@ -53,7 +60,7 @@
             long until,
             int layer,
             double part,
-            ObjDoubleConsumer<ModelUpstream> setting,
+            ObjDoubleConsumer<SimulatedUpstream> setting,
             double faulty,
             double sound) {
         for (Topology.Service service : context.topology.servicesInLayer(layer)) {
@@ -61,7 +68,7 @@
             Collections.shuffle(machines, random);
             int count = (int) Math.floor(part * machines.size() + random.nextDouble());
             for (Topology.Machine machine : machines.subList(0, Math.min(count, machines.size()))) {
-                ModelUpstream upstream = context.upstreams.get(machine.number());
+                SimulatedUpstream upstream = context.upstreams.get(machine.number());
                 context.queue.scheduleAt(from, now -> setting.accept(upstream, faulty));
                 context.queue.scheduleAt(until, now -> setting.accept(upstream, sound));
             }
@@ -84,7 +91,7 @@
     private void lose(long from, long until, List<Topology.Machine> machines) {
         for (Topology.Machine machine : machines) {
             context.queue.scheduleAt(from, now -> {
-                context.upstreams.get(machine.number()).lose();
+                context.upstreams.get(machine.number()).loseMachine();
                 context.sidecars.get(machine.number()).stop(now);
                 context.listService.scheduleLossDetection(now, machine);
             });
@@ -96,7 +103,7 @@
         List<Topology.Machine> machines = drawn(restarts.count());
         for (int i = 0; i < machines.size(); i++) {
             Topology.Machine machine = machines.get(i);
-            ModelUpstream upstream = context.upstreams.get(machine.number());
+            SimulatedUpstream upstream = context.upstreams.get(machine.number());
             long leaves = from + spreadMicros * i / machines.size();
             long ends = leaves + DRAIN_MICROS;
             context.queue.scheduleAt(
@@ -115,14 +122,14 @@
     private void startAgain(long nowMicros, Topology.Machine machine) {
         context.upstreams.get(machine.number()).start(nowMicros);
         context.listService.updateEntry(nowMicros, machine, ListEntry.Phase.ACTIVE, nowMicros);
-        ModelSidecar sidecar = context.sidecars.get(machine.number());
+        SimulatedSidecar sidecar = context.sidecars.get(machine.number());
         sidecar.start(nowMicros, context.listService.fullList(machine));
     }
 
     private void configure(long from, long spreadMicros) {
-        List<ModelSidecar> sidecars = context.sidecars;
+        List<SimulatedSidecar> sidecars = context.sidecars;
         for (int i = 0; i < sidecars.size(); i++) {
-            ModelSidecar sidecar = sidecars.get(i);
+            SimulatedSidecar sidecar = sidecars.get(i);
             context.queue.scheduleAt(
                     from + spreadMicros * i / sidecars.size(),
                     now -> sidecar.listClient().changeAddress(now));
--- a/scale/src/main/java/gradehub/scale/model/ListClient.java
+++ b/scale/src/main/java/gradehub/scale/model/ListClient.java
@@ -11,7 +11,7 @@
     private static final double CONNECT_TIMEOUT_MILLIS = DiscoveryTimeouts.CONNECT_TIMEOUT_MS;
 
     private final SimulationContext context;
-    private final ModelSidecar sidecar;
+    private final SimulatedSidecar sidecar;
     private Watch watch;
     private int revision = -1;
     private long lastReceivedMicros;
@@ -21,7 +21,7 @@
     /** When the sidecar learned of a new address of the list service, or -1 if no list is awaited from one. */
     private long addressChangedMicros = -1;
 
-    ListClient(SimulationContext context, ModelSidecar sidecar) {
+    ListClient(SimulationContext context, SimulatedSidecar sidecar) {
         this.context = context;
         this.sidecar = sidecar;
     }
@@ -85,7 +85,7 @@
         }
         close(nowMicros);
         watchLost = true;
-        sidecar.listFailed(nowMicros);
+        sidecar.watchFailed(nowMicros);
     }
 
     /** Handles data received on a watch; {@code update} is null for an empty line. */
@@ -97,7 +97,7 @@
         if (update != null) {
             recordDelays(nowMicros, update);
             revision = update.revision();
-            sidecar.tell(nowMicros, update.complete() ? ListKind.FULL : ListKind.DELTA, update.entries());
+            sidecar.updateUpstreams(nowMicros, update.complete() ? ListKind.FULL : ListKind.DELTA, update.entries());
         }
     }
 
--- a/scale/src/main/java/gradehub/scale/model/ListService.java
+++ b/scale/src/main/java/gradehub/scale/model/ListService.java
@@ -59,7 +59,8 @@
     }
 
     boolean isReachableFrom(Topology.Machine machine) {
-        return !context.upstreams.get(machine.number()).isSilent() && context.network.isListServiceReachable(machine);
+        return !context.upstreams.get(machine.number()).isMachineLost()
+                && context.network.isListServiceReachable(machine);
     }
 
     /** The time since when the service has been up and not partitioned from this machine. */
--- a/scale/src/main/java/gradehub/scale/model/RootClients.java
+++ b/scale/src/main/java/gradehub/scale/model/RootClients.java
@@ -38,11 +38,11 @@
 
     /** Clients of a machine that is down go elsewhere, outside of the fleet. */
     private void arrive(long nowMicros) {
-        ModelSidecar sidecar = context.sidecars.get(machine.number());
+        SimulatedSidecar sidecar = context.sidecars.get(machine.number());
         if (sidecar.isRunning()) {
             context.measurements.rootCallStarted(nowMicros);
             int tries = context.experiment.calls().rootTries();
-            Operation.begin(
+            FanOut.begin(
                     context,
                     sidecar,
                     nowMicros,
--- a/scale/src/test/java/gradehub/scale/model/SimulationTest.java
+++ b/scale/src/test/java/gradehub/scale/model/SimulationTest.java
@@ -115,7 +115,9 @@
         new Simulation(context).run((seconds, calls) -> true);
         Measurements counted = context.measurements;
         assertEquals(0, counted.lateAnswers);
-        long restarts = context.sidecars.stream().mapToInt(ModelSidecar::life).sum();
+        long restarts = context.sidecars.stream()
+                .mapToInt(SimulatedSidecar::incarnation)
+                .sum();
         long outAtTheEnd = counted.rootOffered - counted.rootServed - counted.rootFailed;
         double mostOut = 150 * 2.1 + restarts * 30;
         assertTrue(outAtTheEnd >= 0 && outAtTheEnd <= mostOut, outAtTheEnd + " of " + counted.rootOffered);
