--- a/scale/src/main/java/gradehub/scale/CheckCommand.java
+++ b/scale/src/main/java/gradehub/scale/CheckCommand.java
@@ -7,8 +7,8 @@
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Spec;
 
-/** Checks an experiment file and tells what its runs would need. */
-@Command(name = "check", mixinStandardHelpOptions = true, description = "Checks an experiment file; runs nothing.")
+/** Checks an experiment file and prints the size, the duration and the estimated memory of each run. */
+@Command(name = "check", mixinStandardHelpOptions = true, description = "Checks an experiment file without running it.")
 final class CheckCommand implements Callable<Integer> {
 
     @Mixin
--- a/scale/src/main/java/gradehub/scale/Main.java
+++ b/scale/src/main/java/gradehub/scale/Main.java
@@ -3,31 +3,31 @@
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 
-/** The command line: {@code model}, {@code check} and {@code slopes}. */
+/** Command line interface with the commands {@code model}, {@code check} and {@code slopes}. */
 @Command(
         name = "gradehub-scale",
         mixinStandardHelpOptions = true,
         version = "gradehub-scale 0.1.0",
-        description = "Experiments with the sidecar at the size of a whole fleet.",
+        description = "Simulates sidecars at the scale of a whole fleet.",
         subcommands = {ModelCommand.class, CheckCommand.class, SlopesCommand.class},
         exitCodeListHeading = "%nExit codes:%n",
         exitCodeList = {
-            "0:done",
-            "1:the run has failed",
-            "2:bad usage or a bad experiment file",
-            "130:ended by an interrupt; what was measured is kept"
+            "0:success",
+            "1:failure",
+            "2:invalid usage or invalid experiment file",
+            "130:interrupted; results up to the interrupt are written"
         })
 public final class Main {
 
-    /** Exit code of a run that failed. */
+    /** Exit code for failures other than invalid input. */
     static final int FAILED = 1;
 
-    /** Exit code for bad usage and bad experiment files. */
-    static final int BAD_USAGE = 2;
+    /** Exit code for invalid usage and rejected experiments. */
+    static final int INVALID_INPUT = 2;
 
     private Main() {}
 
-    /** Runs a command and exits with its code. */
+    /** Runs a command and exits the process with its exit code. */
     public static void main(String[] arguments) {
         System.exit(execute(arguments));
     }
@@ -37,7 +37,7 @@
         return new CommandLine(new Main())
                 .setExecutionExceptionHandler((exception, commandLine, parsed) -> {
                     commandLine.getErr().println(commandLine.getColorScheme().errorText(message(exception)));
-                    return exception instanceof BadExperimentException ? BAD_USAGE : FAILED;
+                    return exception instanceof InvalidExperimentException ? INVALID_INPUT : FAILED;
                 })
                 .execute(arguments);
     }
--- a/scale/src/main/java/gradehub/scale/ModelCommand.java
+++ b/scale/src/main/java/gradehub/scale/ModelCommand.java
@@ -21,11 +21,11 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
 
-/** Plays an experiment in the model; an interrupt ends the run and keeps what was measured. */
+/** Runs an experiment in the simulator; an interrupt ends the runs and keeps their measurements up to that point. */
 @Command(
         name = "model",
         mixinStandardHelpOptions = true,
-        description = "Plays an experiment with real decision modules on a simulated clock.")
+        description = "Runs an experiment with real balancing modules on a simulated clock.")
 final class ModelCommand implements Callable<Integer> {
 
     @Mixin
@@ -34,13 +34,21 @@
     @Spec
     private CommandSpec spec;
 
-    @Option(names = "--out", paramLabel = "DIR", description = "folder for the results; default: ${DEFAULT-VALUE}")
+    @Option(
+            names = "--out",
+            paramLabel = "DIR",
+            description = "directory for the result files; default: ${DEFAULT-VALUE}")
     private Path out = Path.of("target", "results");
 
-    @Option(names = "--summary-only", description = "write no rows of seconds and services")
+    @Option(
+            names = "--summary-only",
+            description = "write the summary alone, without the files of seconds and services")
     private boolean summaryOnly;
 
-    @Option(names = "--parallel", paramLabel = "N", description = "runs to play at once; default: ${DEFAULT-VALUE}")
+    @Option(
+            names = "--parallel",
+            paramLabel = "N",
+            description = "number of runs at the same time; default: ${DEFAULT-VALUE}")
     private int parallel = 1;
 
     private volatile boolean interrupted;
@@ -48,61 +56,61 @@
     @Override
     public Integer call() throws Exception {
         if (parallel < 1) {
-            throw new ParameterException(spec.commandLine(), "--parallel: must be 1 at least");
+            throw new ParameterException(spec.commandLine(), "--parallel: must be at least 1");
         }
         List<Experiment> experiments = options.experiments(parallel);
-        CountDownLatch written = new CountDownLatch(1);
-        Thread hook = new Thread(() -> endRuns(written), "interrupt");
-        Runtime.getRuntime().addShutdownHook(hook);
+        CountDownLatch resultsWritten = new CountDownLatch(1);
+        Thread shutdownHook = new Thread(() -> interruptRuns(resultsWritten), "interrupt");
+        Runtime.getRuntime().addShutdownHook(shutdownHook);
         try {
-            playAll(experiments);
+            runAll(experiments);
         } finally {
-            written.countDown();
+            resultsWritten.countDown();
         }
         if (interrupted) {
             return Main.FAILED;
         }
-        Runtime.getRuntime().removeShutdownHook(hook);
+        Runtime.getRuntime().removeShutdownHook(shutdownHook);
         return 0;
     }
 
-    /** Runs while the process is about to end: all runs stop within a simulated second, and results are written. */
-    private void endRuns(CountDownLatch written) {
+    /** Shutdown hook: makes all runs stop within a simulated second, and waits until their results are written. */
+    private void interruptRuns(CountDownLatch resultsWritten) {
         interrupted = true;
         try {
-            written.await();
+            resultsWritten.await();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    /** The runs share nothing; results are written in the order of the experiments, whichever ends first. */
-    private void playAll(List<Experiment> experiments) throws IOException, InterruptedException, ExecutionException {
-        ExecutorService threads = Executors.newFixedThreadPool(parallel);
+    /** Executes the runs, which share no state; results are written in the order of the experiments, whichever run ends first. */
+    private void runAll(List<Experiment> experiments) throws IOException, InterruptedException, ExecutionException {
+        ExecutorService executor = Executors.newFixedThreadPool(parallel);
         try (ResultFiles files = ResultFiles.create(out, summaryOnly)) {
-            List<Future<RunResult>> runs = new ArrayList<>();
+            List<Future<RunResult>> futures = new ArrayList<>();
             for (Experiment experiment : experiments) {
-                runs.add(threads.submit(() -> play(experiment)));
+                futures.add(executor.submit(() -> run(experiment)));
             }
-            for (Future<RunResult> run : runs) {
-                RunResult result = run.get();
+            for (Future<RunResult> future : futures) {
+                RunResult result = future.get();
                 if (result != null) {
                     files.add(result);
                 }
             }
         } finally {
-            threads.shutdownNow();
+            executor.shutdownNow();
         }
     }
 
-    /** Plays a run; null where it was not begun before the interrupt. */
-    private RunResult play(Experiment experiment) {
+    /** Runs one experiment; returns null if it had not started before the interrupt. */
+    private RunResult run(Experiment experiment) {
         if (interrupted) {
             return null;
         }
         ProgressLog progress = new ProgressLog(experiment, () -> interrupted);
         RunResult result = new Simulation(experiment).run(progress);
-        progress.ended(result);
+        progress.logEnd(result);
         return result;
     }
 }
--- a/scale/src/main/java/gradehub/scale/ProgressLog.java
+++ b/scale/src/main/java/gradehub/scale/ProgressLog.java
@@ -8,29 +8,30 @@
 import org.slf4j.LoggerFactory;
 import org.slf4j.spi.LoggingEventBuilder;
 
-/** Logs the beginning, the progress and the end of one run, and ends it when it is interrupted. */
+/** Logs the start, the progress and the end of one run, and stops the run after an interrupt. */
 final class ProgressLog implements Simulation.ProgressListener {
 
     private static final Logger LOG = LoggerFactory.getLogger(ProgressLog.class);
-    private static final long PERIOD_NANOS = 5_000_000_000L;
+    private static final long LOG_PERIOD_NANOS = 5_000_000_000L;
 
     private final Experiment experiment;
     private final BooleanSupplier interrupted;
-    private final long startedNanos = System.nanoTime();
-    private long loggedNanos = startedNanos;
+    private final long startNanos = System.nanoTime();
+    private long lastLogNanos = startNanos;
 
     ProgressLog(Experiment experiment, BooleanSupplier interrupted) {
         this.experiment = experiment;
         this.interrupted = interrupted;
-        info().log("run begins");
+        infoEvent().log("run started");
     }
 
     @Override
     public boolean onProgress(double simulatedSeconds, long calls) {
         long nowNanos = System.nanoTime();
-        if (nowNanos - loggedNanos >= PERIOD_NANOS) {
-            loggedNanos = nowNanos;
-            info().addKeyValue("simulatedSeconds", simulatedSeconds)
+        if (nowNanos - lastLogNanos >= LOG_PERIOD_NANOS) {
+            lastLogNanos = nowNanos;
+            infoEvent()
+                    .addKeyValue("simulatedSeconds", simulatedSeconds)
                     .addKeyValue("ofSeconds", experiment.totalSeconds())
                     .addKeyValue("calls", calls)
                     .addKeyValue("callsPerRealSecond", Math.round(calls / realSeconds(nowNanos)))
@@ -39,18 +40,19 @@
         return !interrupted.getAsBoolean();
     }
 
-    void ended(RunResult result) {
-        info().addKeyValue("complete", result.complete())
+    void logEnd(RunResult result) {
+        infoEvent()
+                .addKeyValue("complete", result.complete())
                 .addKeyValue("realSeconds", realSeconds(System.nanoTime()))
                 .addKeyValue("digest", result.digest())
-                .log("run ends");
+                .log("run ended");
     }
 
     private double realSeconds(long nowNanos) {
-        return (nowNanos - startedNanos) / 1e9;
+        return (nowNanos - startNanos) / 1e9;
     }
 
-    private LoggingEventBuilder info() {
+    private LoggingEventBuilder infoEvent() {
         return LOG.atInfo()
                 .addKeyValue("experiment", experiment.name())
                 .addKeyValue("size", experiment.fleet().upstreams())
--- a/scale/src/main/java/gradehub/scale/SlopesCommand.java
+++ b/scale/src/main/java/gradehub/scale/SlopesCommand.java
@@ -10,14 +10,14 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** Tells how figures grow with the size of the fleet. */
+/** Prints how figures grow with the size of the fleet. */
 @Command(
         name = "slopes",
         mixinStandardHelpOptions = true,
-        description = "Prints as CSV how each figure grows with the size of the fleet.")
+        description = "Prints how each figure grows with the size of the fleet, as CSV.")
 final class SlopesCommand implements Callable<Integer> {
 
-    @Parameters(paramLabel = "SUMMARY", arity = "1..*", description = "files summary.csv that the model has written")
+    @Parameters(paramLabel = "SUMMARY", arity = "1..*", description = "summary.csv files written by the model command")
     private List<Path> summaries;
 
     @Spec
--- a/scale/src/main/java/gradehub/scale/package-info.java
+++ b/scale/src/main/java/gradehub/scale/package-info.java
@@ -1,2 +1,2 @@
-/** Command line of the scale experiments. */
+/** Command line interface of the scale model, which simulates a fleet of sidecars. */
 package gradehub.scale;
