--- a/scale/src/test/java/gradehub/scale/MainTest.java
+++ b/scale/src/test/java/gradehub/scale/MainTest.java
@@ -13,55 +13,55 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The command line: its exit codes, its errors and its files. */
+/** Tests the exit codes, the error messages and the result files of the command line. */
 class MainTest {
 
     @TempDir
-    private Path folder;
+    private Path directory;
 
     private final ByteArrayOutputStream output = new ByteArrayOutputStream();
     private final ByteArrayOutputStream errors = new ByteArrayOutputStream();
 
     private int execute(String... arguments) {
-        PrintStream out = System.out;
-        PrintStream err = System.err;
+        PrintStream originalOut = System.out;
+        PrintStream originalErr = System.err;
         System.setOut(new PrintStream(output, true, StandardCharsets.UTF_8));
         System.setErr(new PrintStream(errors, true, StandardCharsets.UTF_8));
         try {
             return Main.execute(arguments);
         } finally {
-            System.setOut(out);
-            System.setErr(err);
+            System.setOut(originalOut);
+            System.setErr(originalErr);
         }
     }
 
-    private Path file(String text) throws IOException {
-        return Files.writeString(folder.resolve("experiment.yaml"), text);
+    private Path writeExperiment(String text) throws IOException {
+        return Files.writeString(directory.resolve("experiment.yaml"), text);
     }
 
     @Test
-    void helpAndVersionAreNoErrors() {
+    void helpAndVersionExitWithZero() {
         assertEquals(0, execute("--help"));
         assertEquals(0, execute("--version"));
         assertTrue(output.toString(StandardCharsets.UTF_8).contains("Exit codes"));
     }
 
     @Test
-    void badUsageIsToldByItsCode() {
-        assertEquals(2, execute("fly"));
+    void invalidUsageExitsWithTwo() {
+        assertEquals(2, execute("unknown-command"));
         assertEquals(2, execute("model"));
         assertEquals(2, execute("check", "file", "--sizes", "many"));
     }
 
     @Test
-    void aFileThatCannotBeReadIsAFailure() {
-        assertEquals(1, execute("check", folder.resolve("none.yaml").toString()));
+    void unreadableFileExitsWithOne() {
+        assertEquals(1, execute("check", directory.resolve("missing.yaml").toString()));
     }
 
     @Test
-    void aBadFileIsRefusedWithItsPlaceBeforeAnythingStarts() throws IOException {
-        Path file = file(TestExperiments.smallYaml().replace("cores: 2", "cores: none"));
-        Path out = folder.resolve("out");
+    void invalidFileIsRejectedWithPositionBeforeAnyRunStarts() throws IOException {
+        Path file = writeExperiment(TestExperiments.smallYaml().replace("cores: 2", "cores: none"));
+        Path out = directory.resolve("out");
         assertEquals(2, execute("model", file.toString(), "--out", out.toString()));
         assertTrue(errors.toString(StandardCharsets.UTF_8).contains("upstream.cores"));
         assertTrue(errors.toString(StandardCharsets.UTF_8).contains("line "));
@@ -69,34 +69,36 @@
     }
 
     @Test
-    void anExperimentThatNeedsTooMuchMemoryIsRefused() throws IOException {
-        Path file = file(TestExperiments.smallYaml());
+    void experimentThatNeedsTooMuchMemoryIsRejected() throws IOException {
+        Path file = writeExperiment(TestExperiments.smallYaml());
         assertEquals(2, execute("check", file.toString(), "--sizes", "100000000"));
         assertTrue(errors.toString(StandardCharsets.UTF_8).contains("half of the machine's memory"));
     }
 
     @Test
-    void aSizeThatIsTooSmallForTheTreeIsRefused() throws IOException {
-        assertEquals(2, execute("check", file(TestExperiments.smallYaml()).toString(), "--sizes", "23"));
+    void sizeTooSmallForCallTreeIsRejected() throws IOException {
+        assertEquals(
+                2, execute("check", writeExperiment(TestExperiments.smallYaml()).toString(), "--sizes", "23"));
         assertTrue(errors.toString(StandardCharsets.UTF_8).contains("needs 24"));
     }
 
     @Test
-    void runsAtOnceGiveTheResultsOfRunsInTurn() throws IOException {
-        Path file = file(TestExperiments.smallYaml().replace("measuredSeconds: 5", "measuredSeconds: 1"));
-        String inTurn = folder.resolve("in-turn").toString();
-        String atOnce = folder.resolve("at-once").toString();
-        assertEquals(0, execute("model", file.toString(), "--seeds", "1,2,3", "--out", inTurn));
-        assertEquals(0, execute("model", file.toString(), "--seeds", "1,2,3", "--out", atOnce, "--parallel", "3"));
+    void parallelRunsGiveSameResultsAsSequentialRuns() throws IOException {
+        Path file = writeExperiment(TestExperiments.smallYaml().replace("measuredSeconds: 5", "measuredSeconds: 1"));
+        String sequential = directory.resolve("sequential").toString();
+        String parallel = directory.resolve("parallel").toString();
+        assertEquals(0, execute("model", file.toString(), "--seeds", "1,2,3", "--out", sequential));
+        assertEquals(0, execute("model", file.toString(), "--seeds", "1,2,3", "--out", parallel, "--parallel", "3"));
         assertEquals(
-                Files.readString(Path.of(inTurn, "summary.csv")), Files.readString(Path.of(atOnce, "summary.csv")));
-        assertEquals(2, execute("model", file.toString(), "--out", atOnce, "--parallel", "0"));
+                Files.readString(Path.of(sequential, "summary.csv")),
+                Files.readString(Path.of(parallel, "summary.csv")));
+        assertEquals(2, execute("model", file.toString(), "--out", parallel, "--parallel", "0"));
     }
 
     @Test
-    void theModelWritesItsResultsAndSlopesReadsThem() throws IOException {
-        Path file = file(TestExperiments.smallYaml().replace("measuredSeconds: 5", "measuredSeconds: 1"));
-        Path out = folder.resolve("out");
+    void slopesReadsSummaryWrittenByModel() throws IOException {
+        Path file = writeExperiment(TestExperiments.smallYaml().replace("measuredSeconds: 5", "measuredSeconds: 1"));
+        Path out = directory.resolve("out");
         String[] run = {"model", file.toString(), "--out", out.toString(), "--sizes", "30,60", "--seeds", "1,2"};
         assertEquals(0, execute(run));
         assertEquals(
--- a/scale/src/test/java/gradehub/scale/TestExperiments.java
+++ b/scale/src/test/java/gradehub/scale/TestExperiments.java
@@ -14,12 +14,12 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 
-/** Experiments for the tests. */
+/** Experiments for tests. */
 public final class TestExperiments {
 
     private TestExperiments() {}
 
-    /** The text of the small experiment. */
+    /** Returns the text of the file that describes {@link #small}. */
     public static String smallYaml() {
         try (InputStream file = TestExperiments.class.getResourceAsStream("/small.yaml")) {
             return new String(file.readAllBytes(), StandardCharsets.UTF_8);
@@ -28,7 +28,7 @@
         }
     }
 
-    /** A small fleet without faults. */
+    /** Returns an experiment with a small fleet and no faults. */
     public static Experiment small() {
         try {
             return ExperimentReader.parse(smallYaml());
@@ -37,7 +37,7 @@
         }
     }
 
-    /** The same with these faults and times. */
+    /** Returns {@code base} with other durations and faults. */
     public static Experiment withFaults(
             Experiment base, double warmupSeconds, double measuredSeconds, Fault... faults) {
         return new Experiment(
@@ -53,7 +53,7 @@
                 List.of(faults));
     }
 
-    /** The same with another list service. */
+    /** Returns {@code base} with another list service. */
     public static Experiment withListService(Experiment base, ListServiceModel listService) {
         return new Experiment(
                 base.name(),
@@ -68,7 +68,7 @@
                 base.faults());
     }
 
-    /** The same with another rate of root calls. */
+    /** Returns {@code base} with another rate of root calls. */
     public static Experiment withRate(Experiment base, double rootCallsPerSecond) {
         CallModel calls = base.calls();
         return new Experiment(
@@ -93,8 +93,8 @@
                 base.faults());
     }
 
-    /** The same with services of at most this many upstreams. */
-    public static Experiment withFleet(Experiment base, int upstreams, int services, int largest) {
+    /** Returns {@code base} with other numbers of upstreams and services, and another maximum size of a service. */
+    public static Experiment withFleet(Experiment base, int upstreams, int services, int maxServiceSize) {
         Fleet fleet = base.fleet();
         return new Experiment(
                 base.name(),
@@ -105,7 +105,7 @@
                         upstreams,
                         services,
                         fleet.minServiceSize(),
-                        largest,
+                        maxServiceSize,
                         fleet.hops(),
                         fleet.calledServices(),
                         fleet.utilisation(),
@@ -117,7 +117,7 @@
                 base.faults());
     }
 
-    /** The same with other upstreams, busy for this part of their cores. */
+    /** Returns {@code base} with another model of upstreams and another utilisation of their cores. */
     public static Experiment withUpstreams(Experiment base, UpstreamModel upstream, double utilisation) {
         Fleet fleet = base.fleet();
         return new Experiment(
