--- a/scale/src/main/java/gradehub/scale/model/ServiceClient.java
+++ b/scale/src/main/java/gradehub/scale/model/ServiceClient.java
@@ -13,12 +13,13 @@
 import java.util.Map;
 
 /**
- * The part of a sidecar that calls one service: hosts one decision module, tells it what happens and does what it asks
- * for. As the module acts during its call, all that its actions bring about goes through the event queue.
+ * The part of a sidecar that calls one service. Hosts one balancer: reports events to it and carries out its actions.
+ * The balancer acts while it handles an event, so events that result from its actions are put on the event queue and
+ * never reported back during that call.
  */
 final class ServiceClient implements Balancer.Actions {
 
-    /** A request in hand: until it is answered and each of its attempts has ended. */
+    /** A request that is not yet answered or still has attempts in flight. */
     static final class OpenRequest {
         final int id;
         final ApplicationCall call;
@@ -51,7 +52,6 @@
         this.balancer = new LoadShiftingBalancer(settings, seed, this);
     }
 
-    /** The decision module. */
     Balancer balancer() {
         return balancer;
     }
@@ -60,7 +60,7 @@
         balancer.start(SimulationContext.toMillis(nowMicros));
     }
 
-    /** The sidecar's process has ended: nothing is told any more. */
+    /** The sidecar's process has ended: no further events are reported to the balancer. */
     void stop() {
         running = false;
         openRequests.clear();
@@ -77,7 +77,7 @@
         balancer.request(SimulationContext.toMillis(nowMicros), new Request(request.id, 0, 0, timeoutMillis, retry, 0));
     }
 
-    /** An attempt has ended; what comes after its first end is not told. */
+    /** Reports the end of an attempt to the balancer; only the first end of an attempt counts. */
     void attemptEnded(long nowMicros, Attempt attempt, Outcome outcome) {
         if (!running || attempt.ended) {
             return;
@@ -159,7 +159,7 @@
         }
     }
 
-    /** Passes an upstream's answer on, as far as there is a path. */
+    /** Delivers the outcome of an attempt from its upstream after the network delay; lost if the path is cut. */
     void deliverOutcome(long nowMicros, Attempt attempt, Outcome outcome) {
         Topology.Machine source = attempt.upstream.machine();
         if (running && !attempt.ended && context.isReachable(sidecar.machine(), source)) {
@@ -189,7 +189,7 @@
 
     @Override
     public void probe(int upstreamId) {
-        throw new IllegalStateException("the settings of the model allow no probes");
+        throw new IllegalStateException("the balancer requested a health probe, but the simulation disables probes");
     }
 
     @Override
@@ -208,12 +208,13 @@
 
     @Override
     public void fetchList() {
-        throw new IllegalStateException("a subscribed module asks for no single list");
+        throw new IllegalStateException(
+                "the balancer fetched the list, but the simulation provides it by subscription only");
     }
 
     @Override
     public void closeIdle(int upstreamId) {
-        // Connections are no part of the model.
+        // Connections are not simulated.
     }
 
     @Override
