--- a/scale/src/main/java/gradehub/scale/model/SimulatedUpstream.java
+++ b/scale/src/main/java/gradehub/scale/model/SimulatedUpstream.java
@@ -7,7 +7,10 @@
 import java.util.List;
 import java.util.SplittableRandom;
 
-/** A machine's application as an upstream: a queue before some cores, slow while it is cold, and the faults it has. */
+/**
+ * The application of one machine as an upstream: a bounded queue in front of a number of cores, with lower capacity
+ * while it is cold, and with injected faults.
+ */
 final class SimulatedUpstream {
 
     private final SimulationContext context;
@@ -15,7 +18,7 @@
     private final UpstreamModel model;
     private final SplittableRandom random;
     private final double meanWorkMicros;
-    /** Parameters of the log-normal distribution of work with that mean. */
+    /** Parameters of the log-normal distribution of work whose mean is {@code meanWorkMicros}. */
     private final double logMean;
 
     private final double logStandardDeviation;
@@ -52,17 +55,17 @@
         return machine;
     }
 
-    /** Whether its machine says nothing, as one that is lost or cut off. */
+    /** Whether the machine is lost: it answers nothing, and connections to it time out. */
     boolean isMachineLost() {
         return machineLost;
     }
 
-    /** Whether its process runs. */
+    /** Whether the process is running. */
     boolean isUp() {
         return up;
     }
 
-    /** When its process started, or -1 if that was before the run. */
+    /** When the process started, or -1 if it started before the run. */
     long startedMicros() {
         return startedMicros;
     }
@@ -75,7 +78,7 @@
         slowdownFactor = factor;
     }
 
-    /** The machine falls silent and its process is gone; what it has in hand is never answered. */
+    /** The machine is lost with its process; attempts in progress never get a reply. */
     void loseMachine() {
         machineLost = true;
         up = false;
@@ -83,7 +86,7 @@
         dropAttempts();
     }
 
-    /** The process dies; its connections are reset. */
+    /** The process ends and its connections are reset. */
     void kill(long nowMicros) {
         up = false;
         incarnation++;
@@ -93,7 +96,7 @@
         dropAttempts();
     }
 
-    /** A new, cold process starts. */
+    /** Starts a new process, which is cold at first. */
     void start(long nowMicros) {
         machineLost = false;
         up = true;
@@ -126,7 +129,7 @@
             attempt.client.deliverOutcome(nowMicros, attempt, Outcome.ERROR);
         } else if (busyCores < model.cores()) {
             addInProgress(attempt);
-            run(nowMicros, attempt, work);
+            startLocalWork(nowMicros, attempt, work);
         } else if (waiting.size() < model.queueCapacity()) {
             addInProgress(attempt);
             waiting.add(attempt);
@@ -135,7 +138,7 @@
         }
     }
 
-    /** Counts what reaches it while it is cold, and lets it fall over when that is too much. */
+    /** Counts an arrival at a cold upstream; crashes the process and returns true if the load exceeds its limit. */
     private boolean crashIfOverloadedWhileCold(long nowMicros, double work) {
         if (!coldStart.isCold(nowMicros)) {
             return false;
@@ -151,7 +154,7 @@
         return crashedByOverload;
     }
 
-    private void run(long nowMicros, Attempt attempt, double workMicros) {
+    private void startLocalWork(long nowMicros, Attempt attempt, double workMicros) {
         busyCores++;
         int startIncarnation = incarnation;
         long duration = Math.max(1, Math.round(workMicros * slowdownFactor / coldStart.capacityFraction(nowMicros)));
@@ -164,7 +167,7 @@
 
     private void finishLocalWork(long nowMicros, Attempt attempt) {
         busyCores--;
-        runNext(nowMicros);
+        startNextWaiting(nowMicros);
         int startIncarnation = incarnation;
         int maxTries = context.experiment.calls().innerTries();
         SimulatedSidecar sidecar = context.sidecars.get(machine.number());
@@ -176,15 +179,15 @@
         });
     }
 
-    /** What its sidecar has given up is passed over. */
-    private void runNext(long nowMicros) {
+    /** Starts the next waiting attempt; discards those that have ended at the sidecar or are past their deadline. */
+    private void startNextWaiting(long nowMicros) {
         Attempt next = waiting.poll();
         while (next != null && (next.ended || nowMicros >= next.deadlineMicros)) {
             removeInProgress(next);
             next = waiting.poll();
         }
         if (next != null) {
-            run(nowMicros, next, Math.exp(logMean + logStandardDeviation * random.nextGaussian()));
+            startLocalWork(nowMicros, next, Math.exp(logMean + logStandardDeviation * random.nextGaussian()));
         }
     }
 
