--- a/scale/src/main/java/gradehub/scale/model/ApplicationCall.java
+++ b/scale/src/main/java/gradehub/scale/model/ApplicationCall.java
@@ -1,9 +1,9 @@
 package gradehub.scale.model;
 
-/** A call that an application makes through its sidecar, with all its tries. */
+/** A call that an application makes through its sidecar: the first try and any retries. */
 final class ApplicationCall {
 
-    /** How a sidecar answers a try. */
+    /** The final answer of a sidecar to one try. */
     enum Answer {
         SERVED,
         REFUSED,
@@ -24,7 +24,7 @@
         this.remainingTries = maxTries;
     }
 
-    /** Makes the first try, unless the time of the request that it is for has run out. */
+    /** Makes the first try, or fails the call if the deadline of the enclosing request has passed. */
     void start(long nowMicros) {
         if (!fanOut.isProcessAlive()) {
             return;
@@ -37,7 +37,7 @@
         client.handleRequest(nowMicros, this, deadlineMicros, false);
     }
 
-    /** Calls are safe to repeat: the application tries again after any failure, as long as there is time. */
+    /** All calls are idempotent, so the application retries after any failure while time and tries remain. */
     void answerReceived(long nowMicros, Answer answer) {
         long retryDelayMicros = context.experiment.calls().retryPauseMillis() * SimulationContext.MICROS_PER_MILLI;
         boolean retry = answer != Answer.SERVED && remainingTries > 0 && nowMicros + retryDelayMicros < deadlineMicros;
--- a/scale/src/main/java/gradehub/scale/model/Attempt.java
+++ b/scale/src/main/java/gradehub/scale/model/Attempt.java
@@ -2,7 +2,7 @@
 
 import gradehub.Balancer.Outcome;
 
-/** One attempt of a sidecar's request at an upstream; as an event, its time-out. */
+/** One attempt of a sidecar to serve a request at an upstream. As an event it is the attempt's timeout. */
 final class Attempt implements Event {
 
     final ServiceClient client;
@@ -10,11 +10,11 @@
     final int number;
     final SimulatedUpstream upstream;
     final long sentMicros;
-    /** When the sidecar stops waiting for it. */
+    /** When the sidecar times the attempt out. */
     final long deadlineMicros;
-    /** Whether the sidecar knows its end. */
+    /** Whether the end of the attempt has been reported to the sidecar. */
     boolean ended;
-    /** Its place among those that the upstream has in hand, or -1. */
+    /** Index in the upstream's list of attempts in progress, or -1. */
     int inProgressIndex = -1;
 
     Attempt(
--- a/scale/src/main/java/gradehub/scale/model/ColdStart.java
+++ b/scale/src/main/java/gradehub/scale/model/ColdStart.java
@@ -4,9 +4,10 @@
 import java.util.ArrayDeque;
 
 /**
- * What a started upstream can do, and what it can take. Its capacity rises evenly from the cold part to the whole. With
- * N the requests of mean work that are {@code overloadFactor} times its present capacity over the span in question, it
- * falls over when more than N + 2 sqrt(N) + 2 reach it within a span.
+ * The capacity of an upstream after its start, and the load at which it crashes. Capacity rises linearly from
+ * {@code coldFrom} to 1. Let N be {@code overloadFactor} times the number of requests of mean work that can be served
+ * in a window at the capacity of its first arrival. The upstream crashes when more than N + 2 sqrt(N) + 2 arrive within
+ * the window; the excess over N allows for random variation.
  */
 final class ColdStart {
 
@@ -28,7 +29,7 @@
         this.windowMicros = model.overloadWindowMillis() * SimulationContext.MICROS_PER_MILLI;
     }
 
-    /** A process starts, cold. */
+    /** A new process has started and is cold. */
     void start(long nowMicros) {
         startedMicros = nowMicros;
         warmMicros = nowMicros + coldMicros;
@@ -40,7 +41,7 @@
         return nowMicros < warmMicros;
     }
 
-    /** The part of its whole capacity that it has now. */
+    /** The current capacity as a fraction of that of a warm upstream. */
     double capacityFraction(long nowMicros) {
         if (!isCold(nowMicros)) {
             return 1;
@@ -48,7 +49,10 @@
         return model.coldFrom() + (1 - model.coldFrom()) * (nowMicros - startedMicros) / coldMicros;
     }
 
-    /** Counts a request of this size, in mean ones, and tells the load of the latest span against what it can take. */
+    /**
+     * Records a request, whose size is given in requests of mean work. Returns the load of the latest window divided by
+     * the limit; above 1 the upstream crashes.
+     */
     double recordArrival(long nowMicros, double requests) {
         arrivals.add(new Arrival(nowMicros, requests));
         requestsInWindow += requests;
--- a/scale/src/main/java/gradehub/scale/model/FanOut.java
+++ b/scale/src/main/java/gradehub/scale/model/FanOut.java
@@ -1,12 +1,12 @@
 package gradehub.scale.model;
 
-/** What an application does for one request: its calls to the next layer, all at once. It ends with the last of them. */
+/** The parallel calls to the next layer that serving one request takes. Completes when the last call ends. */
 final class FanOut {
 
-    /** Told of the end of a fan-out. */
+    /** Callback for the completion of a fan-out. */
     @FunctionalInterface
     interface CompletionHandler {
-        /** The operation has ended; it has succeeded if all its calls were served. */
+        /** All calls have ended; {@code succeeded} is true if each of them was served. */
         void completed(long nowMicros, boolean succeeded);
     }
 
@@ -24,7 +24,7 @@
         this.completionHandler = completionHandler;
     }
 
-    /** Begins an operation of the application beside this sidecar. */
+    /** Starts the calls of the application that runs next to this sidecar; completes at once if there are none. */
     static void start(
             SimulationContext context,
             SimulatedSidecar sidecar,
@@ -48,7 +48,7 @@
         }
     }
 
-    /** Whether the process that it runs in still lives. */
+    /** Whether the process that started the calls is still running. */
     boolean isProcessAlive() {
         return sidecar.incarnation() == incarnation;
     }
--- a/scale/src/main/java/gradehub/scale/model/RootClients.java
+++ b/scale/src/main/java/gradehub/scale/model/RootClients.java
@@ -2,7 +2,10 @@
 
 import java.util.SplittableRandom;
 
-/** The outside clients of one machine of layer 0: open arrivals at random times, whatever becomes of earlier ones. */
+/**
+ * The external clients of one machine of layer 0. Root calls arrive in an open loop as a Poisson process, regardless of
+ * the outcome of earlier calls.
+ */
 final class RootClients {
 
     private final SimulationContext context;
@@ -36,7 +39,7 @@
         context.queue.scheduleAt(previousArrivalMicros + Math.max(1, Math.round(interarrivalMicros)), this::arrive);
     }
 
-    /** Clients of a machine that is down go elsewhere, outside of the fleet. */
+    /** Handles an arrival; clients of a machine that is down go to another site, outside of the fleet. */
     private void arrive(long nowMicros) {
         SimulatedSidecar sidecar = context.sidecars.get(machine.number());
         if (sidecar.isRunning()) {
--- a/scale/src/main/java/gradehub/scale/model/SimulatedSidecar.java
+++ b/scale/src/main/java/gradehub/scale/model/SimulatedSidecar.java
@@ -17,8 +17,8 @@
 import java.util.SplittableRandom;
 
 /**
- * A machine's sidecar: one decision module for each service that its application calls, and one client of the list
- * service for all of them. The first module decides when the list is asked for again.
+ * The sidecar of one machine: one balancer for each service that its application calls, and one list service client for
+ * all of them. The first balancer decides when to subscribe to the list again.
  */
 final class SimulatedSidecar {
 
@@ -47,12 +47,11 @@
         return machine;
     }
 
-    /** The services that its application calls. */
     List<Integer> calledServices() {
         return calledServices;
     }
 
-    /** Counts the processes that have run here. */
+    /** The number of processes that have ended on this machine; tells a restarted process from an earlier one. */
     int incarnation() {
         return incarnation;
     }
@@ -65,12 +64,12 @@
         return listClient;
     }
 
-    /** The decision modules' hosts, one for each called service; one without a service where it calls none. */
+    /** One client for each called service; a single client without a service if the application calls none. */
     List<ServiceClient> serviceClients() {
         return serviceClients;
     }
 
-    /** Starts a process, with the list as the sidecar last had it. */
+    /** Starts a process with the list that was cached before the restart. */
     void start(long nowMicros, List<ListEntry> cachedList) {
         running = true;
         for (int i = 0; i < Math.max(1, calledServices.size()); i++) {
@@ -85,7 +84,7 @@
         serviceClients.forEach(client -> client.start(nowMicros));
     }
 
-    /** The process ends, by itself or with its machine. */
+    /** The process ends, alone or with its machine. */
     void stop(long nowMicros) {
         running = false;
         incarnation++;
@@ -94,7 +93,7 @@
         listClient.stop(nowMicros);
     }
 
-    /** What a module is told whose service is called by so many sidecars. */
+    /** The settings of a balancer whose service is called by {@code callerCount} sidecars. */
     static Settings settings(Experiment experiment, int callerCount) {
         CallModel calls = experiment.calls();
         UpstreamModel upstream = experiment.upstream();
@@ -122,19 +121,19 @@
                 new Goal(1, 0, 0));
     }
 
-    /** Only the first module's wish counts: the network code keeps one watch for all. */
+    /** Handles only the first balancer's subscription: as in the real sidecar, all balancers share one watch. */
     void subscribe(ServiceClient client, boolean on) {
         if (on && client == serviceClients.get(0)) {
             listClient.subscribe(context.queue.nowMicros());
         }
     }
 
-    /** The watch has failed: the first module decides when it is opened again. */
+    /** The watch has failed; the first balancer decides when to subscribe again. */
     void watchFailed(long nowMicros) {
         serviceClients.get(0).updateUpstreams(nowMicros, ListKind.FAILED, List.of());
     }
 
-    /** Tells each module of the listed machines of its service. */
+    /** Passes to each balancer the entries for its own service. */
     void updateUpstreams(long nowMicros, ListKind kind, List<ListEntry> list) {
         for (int i = 0; i < serviceClients.size(); i++) {
             List<Upstream> entries = new ArrayList<>();
@@ -147,7 +146,7 @@
         }
     }
 
-    /** How many calls the next operation makes. */
+    /** Samples the number of calls that serving the next request takes; its mean is {@code callsPerRequest}. */
     int sampleCallCount() {
         if (calledServices.isEmpty()) {
             return 0;
@@ -158,7 +157,7 @@
         return wholeCalls + (extraCall ? 1 : 0);
     }
 
-    /** The service that the next call goes to: each as often. */
+    /** Picks the client for the next call, uniformly at random. */
     ServiceClient pickClient() {
         return serviceClients.get(serviceClients.size() == 1 ? 0 : random.nextInt(serviceClients.size()));
     }
--- a/scale/src/main/java/gradehub/scale/model/package-info.java
+++ b/scale/src/main/java/gradehub/scale/model/package-info.java
@@ -1,2 +1,5 @@
-/** The model: decision modules of a whole fleet, with all that surrounds them, on one simulated clock. */
+/**
+ * A discrete-event simulation of a whole fleet: the balancers of all sidecars, with their applications, network and
+ * list service, on one simulated clock.
+ */
 package gradehub.scale.model;
