--- a/scale/src/main/java/gradehub/scale/ModelCommand.java
+++ b/scale/src/main/java/gradehub/scale/ModelCommand.java
@@ -87,7 +87,7 @@
             for (Future<RunResult> run : runs) {
                 RunResult result = run.get();
                 if (result != null) {
-                    files.add(result);
+                    files.write(result);
                 }
             }
         } finally {
--- a/scale/src/main/java/gradehub/scale/result/ResultFiles.java
+++ b/scale/src/main/java/gradehub/scale/result/ResultFiles.java
@@ -17,26 +17,26 @@
     private static final CSVFormat FORMAT =
             CSVFormat.DEFAULT.builder().setRecordSeparator('\n').build();
 
-    private final Path folder;
+    private final Path directory;
     private final boolean summaryOnly;
     private final CSVPrinter summary;
 
-    private ResultFiles(Path folder, boolean summaryOnly, CSVPrinter summary) {
-        this.folder = folder;
+    private ResultFiles(Path directory, boolean summaryOnly, CSVPrinter summary) {
+        this.directory = directory;
         this.summaryOnly = summaryOnly;
         this.summary = summary;
     }
 
-    /** Begins the files of a folder anew. */
-    public static ResultFiles create(Path folder, boolean summaryOnly) throws IOException {
-        Files.createDirectories(folder);
-        CSVPrinter summary =
-                open(folder.resolve(SUMMARY), "experiment", "size", "seed", "complete", "figure", "value", "unit");
-        return new ResultFiles(folder, summaryOnly, summary);
+    /** Begins the files of a directory anew. */
+    public static ResultFiles create(Path directory, boolean summaryOnly) throws IOException {
+        Files.createDirectories(directory);
+        CSVPrinter summary = openCsv(
+                directory.resolve(SUMMARY), "experiment", "size", "seed", "complete", "figure", "value", "unit");
+        return new ResultFiles(directory, summaryOnly, summary);
     }
 
     /** Writes the results of a run. */
-    public void add(RunResult result) throws IOException {
+    public void write(RunResult result) throws IOException {
         for (RunResult.Figure figure : result.figures()) {
             summary.printRecord(
                     result.experiment(),
@@ -63,8 +63,8 @@
     }
 
     private void writeSeconds(RunResult result) throws IOException {
-        Path file = folder.resolve(name(result, "seconds"));
-        try (CSVPrinter rows = open(
+        Path file = directory.resolve(fileName(result, "seconds"));
+        try (CSVPrinter rows = openCsv(
                 file,
                 "second",
                 "root-offered",
@@ -95,8 +95,8 @@
     }
 
     private void writeServices(RunResult result) throws IOException {
-        Path file = folder.resolve(name(result, "services"));
-        try (CSVPrinter rows = open(file, "service", "layer", "upstreams", "callers", "per-upstream", "spread")) {
+        Path file = directory.resolve(fileName(result, "services"));
+        try (CSVPrinter rows = openCsv(file, "service", "layer", "upstreams", "callers", "per-upstream", "spread")) {
             for (RunResult.ServiceLoad row : result.services()) {
                 rows.printRecord(
                         row.service(),
@@ -109,11 +109,11 @@
         }
     }
 
-    private static String name(RunResult result, String what) {
-        return result.experiment() + "-" + result.size() + "-" + result.seed() + "-" + what + ".csv";
+    private static String fileName(RunResult result, String kind) {
+        return result.experiment() + "-" + result.size() + "-" + result.seed() + "-" + kind + ".csv";
     }
 
-    private static CSVPrinter open(Path file, String... header) throws IOException {
+    private static CSVPrinter openCsv(Path file, String... header) throws IOException {
         CSVPrinter printer = new CSVPrinter(Files.newBufferedWriter(file, StandardCharsets.UTF_8), FORMAT);
         printer.printRecord((Object[]) header);
         return printer;
--- a/scale/src/main/java/gradehub/scale/result/Slopes.java
+++ b/scale/src/main/java/gradehub/scale/result/Slopes.java
@@ -41,9 +41,9 @@
     /**
      * A figure over sizes: {@code value = intercept + slope * size}.
      *
-     * @param leastRatio the least value over size of any run
-     * @param mostRatio the greatest value over size of any run
-     * @param bySize the values of the runs of each size, in order of size
+     * @param minRatio the least value over size of any run
+     * @param maxRatio the greatest value over size of any run
+     * @param valuesBySize the values of the runs of each size, in order of size
      */
     public record LinearFit(
             String experiment,
@@ -51,26 +51,26 @@
             String unit,
             double intercept,
             double slope,
-            double leastRatio,
-            double mostRatio,
-            TreeMap<Integer, DoubleSummaryStatistics> bySize) {
+            double minRatio,
+            double maxRatio,
+            TreeMap<Integer, DoubleSummaryStatistics> valuesBySize) {
 
         /** How many runs it is fitted to. */
         public long runs() {
-            return bySize.values().stream()
+            return valuesBySize.values().stream()
                     .mapToLong(DoubleSummaryStatistics::getCount)
                     .sum();
         }
 
         /** The mean of the runs of each size. */
-        public Map<Integer, Double> means() {
+        public Map<Integer, Double> meansBySize() {
             Map<Integer, Double> means = new TreeMap<>();
-            bySize.forEach((size, values) -> means.put(size, values.getAverage()));
+            valuesBySize.forEach((size, values) -> means.put(size, values.getAverage()));
             return means;
         }
 
         private boolean isZero() {
-            return bySize.values().stream().allMatch(values -> values.getMin() == 0 && values.getMax() == 0);
+            return valuesBySize.values().stream().allMatch(values -> values.getMin() == 0 && values.getMax() == 0);
         }
     }
 
@@ -88,27 +88,27 @@
                 }
             }
         }
-        List<LinearFit> slopes = new ArrayList<>();
-        points.forEach((key, ofFigure) -> slopes.add(fit(key, ofFigure)));
-        return slopes;
+        List<LinearFit> fits = new ArrayList<>();
+        points.forEach((key, figurePoints) -> fits.add(fit(key, figurePoints)));
+        return fits;
     }
 
     /** Writes slopes as CSV; figures that are 0 in all runs are left out. */
-    public static void write(List<LinearFit> slopes, Appendable output) throws IOException {
+    public static void write(List<LinearFit> fits, Appendable output) throws IOException {
         CSVPrinter rows = new CSVPrinter(output, OUTPUT);
-        for (LinearFit slope : slopes) {
-            if (!slope.isZero()) {
-                DoubleSummaryStatistics largest = slope.bySize().lastEntry().getValue();
+        for (LinearFit fit : fits) {
+            if (!fit.isZero()) {
+                DoubleSummaryStatistics largest = fit.valuesBySize().lastEntry().getValue();
                 rows.printRecord(
-                        slope.experiment(),
-                        slope.figure(),
-                        slope.unit(),
-                        RunResult.format(slope.slope()),
-                        RunResult.format(slope.intercept()),
-                        RunResult.format(slope.leastRatio()),
-                        RunResult.format(slope.mostRatio()),
-                        slope.runs(),
-                        words(slope.means()),
+                        fit.experiment(),
+                        fit.figure(),
+                        fit.unit(),
+                        RunResult.format(fit.slope()),
+                        RunResult.format(fit.intercept()),
+                        RunResult.format(fit.minRatio()),
+                        RunResult.format(fit.maxRatio()),
+                        fit.runs(),
+                        formatMeans(fit.meansBySize()),
                         RunResult.format(largest.getMin()),
                         RunResult.format(largest.getMax()));
             }
@@ -116,27 +116,28 @@
         rows.flush();
     }
 
-    private static String words(Map<Integer, Double> means) {
-        List<String> words = new ArrayList<>();
-        means.forEach((size, mean) -> words.add(size + ":" + RunResult.format(mean)));
-        return String.join(" ", words);
+    private static String formatMeans(Map<Integer, Double> means) {
+        List<String> entries = new ArrayList<>();
+        means.forEach((size, mean) -> entries.add(size + ":" + RunResult.format(mean)));
+        return String.join(" ", entries);
     }
 
     private static LinearFit fit(List<String> key, List<Point> points) {
         double meanSize = points.stream().mapToDouble(Point::size).average().orElseThrow();
         double meanValue = points.stream().mapToDouble(Point::value).average().orElseThrow();
-        double products = 0;
-        double squares = 0;
+        double sumOfProducts = 0;
+        double sumOfSquares = 0;
         DoubleSummaryStatistics ratios = new DoubleSummaryStatistics();
-        TreeMap<Integer, DoubleSummaryStatistics> bySize = new TreeMap<>();
+        TreeMap<Integer, DoubleSummaryStatistics> valuesBySize = new TreeMap<>();
         for (Point point : points) {
-            products += (point.size() - meanSize) * (point.value() - meanValue);
-            squares += (point.size() - meanSize) * (point.size() - meanSize);
+            sumOfProducts += (point.size() - meanSize) * (point.value() - meanValue);
+            sumOfSquares += (point.size() - meanSize) * (point.size() - meanSize);
             ratios.accept(point.value() / point.size());
-            bySize.computeIfAbsent(point.size(), unused -> new DoubleSummaryStatistics())
+            valuesBySize
+                    .computeIfAbsent(point.size(), unused -> new DoubleSummaryStatistics())
                     .accept(point.value());
         }
-        double slope = squares == 0 ? 0 : products / squares;
+        double slope = sumOfSquares == 0 ? 0 : sumOfProducts / sumOfSquares;
         return new LinearFit(
                 key.get(0),
                 key.get(1),
@@ -145,6 +146,6 @@
                 slope,
                 ratios.getMin(),
                 ratios.getMax(),
-                bySize);
+                valuesBySize);
     }
 }
--- a/scale/src/test/java/gradehub/scale/result/SlopesTest.java
+++ b/scale/src/test/java/gradehub/scale/result/SlopesTest.java
@@ -13,13 +13,13 @@
 class SlopesTest {
 
     @TempDir
-    private Path folder;
+    private Path directory;
 
     @Test
     void fitsALineAndTellsTheRangeOfTheRatio() throws IOException {
-        try (ResultFiles files = ResultFiles.create(folder, true)) {
+        try (ResultFiles files = ResultFiles.create(directory, true)) {
             for (int size : new int[] {10, 20, 40}) {
-                files.add(new RunResult(
+                files.write(new RunResult(
                         "day",
                         size,
                         1,
@@ -29,16 +29,16 @@
                         List.of()));
             }
         }
-        Slopes.LinearFit slope =
-                Slopes.read(folder.resolve(ResultFiles.SUMMARY)).get(0);
-        assertEquals(3, slope.slope(), 1e-9);
-        assertEquals(5, slope.intercept(), 1e-9);
-        assertEquals(3.125, slope.leastRatio(), 1e-9);
-        assertEquals(3.5, slope.mostRatio(), 1e-9);
-        assertEquals(Map.of(10, 35.0, 20, 65.0, 40, 125.0), slope.means());
-        assertEquals(3, slope.runs());
+        Slopes.LinearFit fit =
+                Slopes.read(directory.resolve(ResultFiles.SUMMARY)).get(0);
+        assertEquals(3, fit.slope(), 1e-9);
+        assertEquals(5, fit.intercept(), 1e-9);
+        assertEquals(3.125, fit.minRatio(), 1e-9);
+        assertEquals(3.5, fit.maxRatio(), 1e-9);
+        assertEquals(Map.of(10, 35.0, 20, 65.0, 40, 125.0), fit.meansBySize());
+        assertEquals(3, fit.runs());
         StringBuilder csv = new StringBuilder();
-        Slopes.write(List.of(slope), csv);
+        Slopes.write(List.of(fit), csv);
         assertEquals(
                 "day,bytes,B/s,3,5,3.125,3.5,3,10:35 20:65 40:125,125,125",
                 csv.toString().lines().skip(1).findFirst().orElseThrow());
