--- a/scale/src/main/java/gradehub/scale/result/ResultFiles.java
+++ b/scale/src/main/java/gradehub/scale/result/ResultFiles.java
@@ -8,10 +8,10 @@
 import org.apache.commons.csv.CSVFormat;
 import org.apache.commons.csv.CSVPrinter;
 
-/** Writes results as CSV: a summary of all runs, and for each run its seconds and its services. */
+/** Writes results as CSV: one summary of all runs and, for each run, a file of its seconds and one of its services. */
 public final class ResultFiles implements Closeable {
 
-    /** Name of the summary's file. */
+    /** File name of the summary. */
     public static final String SUMMARY = "summary.csv";
 
     private static final CSVFormat FORMAT =
@@ -27,7 +27,7 @@
         this.summary = summary;
     }
 
-    /** Begins the files of a directory anew. */
+    /** Creates the directory if needed and opens its summary file, replacing an existing one. */
     public static ResultFiles create(Path directory, boolean summaryOnly) throws IOException {
         Files.createDirectories(directory);
         CSVPrinter summary = openCsv(
@@ -35,7 +35,7 @@
         return new ResultFiles(directory, summaryOnly, summary);
     }
 
-    /** Writes the results of a run. */
+    /** Appends a run to the summary and, unless {@code summaryOnly}, writes its own files. */
     public void write(RunResult result) throws IOException {
         for (RunResult.Figure figure : result.figures()) {
             summary.printRecord(
--- a/scale/src/main/java/gradehub/scale/result/RunResult.java
+++ b/scale/src/main/java/gradehub/scale/result/RunResult.java
@@ -9,12 +9,12 @@
 import java.util.List;
 
 /**
- * What one run has measured.
+ * The measurements of one run.
  *
  * @param experiment name of the experiment
- * @param size upstreams of the fleet, each with its sidecar
- * @param seed seed of the run
- * @param complete whether it was played to its end
+ * @param size number of upstreams in the fleet, each with its own sidecar
+ * @param seed seed of all random numbers of the run
+ * @param complete whether the run reached its planned end
  */
 public record RunResult(
         String experiment,
@@ -27,17 +27,17 @@
 
     private static final MathContext SIX_DIGITS = new MathContext(6);
 
-    /** Copies the lists. */
+    /** Makes unmodifiable copies of the lists. */
     public RunResult {
         figures = List.copyOf(figures);
         seconds = List.copyOf(seconds);
         services = List.copyOf(services);
     }
 
-    /** A named figure; a ratio has the unit 1. */
+    /** A named figure; the unit of a ratio or a count is 1. */
     public record Figure(String name, double value, String unit) {}
 
-    /** One simulated second of the run. */
+    /** Counts of one simulated second of the run. */
     public record Second(
             int second,
             long rootOffered,
@@ -52,14 +52,15 @@
             long configured) {}
 
     /**
-     * The load of one service.
+     * The load on the upstreams of one service.
      *
-     * @param perUpstream attempts a second at an upstream, in the mean
-     * @param spread attempts at its busiest upstream over that mean
+     * @param callers number of machines that call the service
+     * @param perUpstream mean attempts per second at an upstream
+     * @param spread attempts at the busiest upstream, divided by the mean over all upstreams of the service
      */
     public record ServiceLoad(int service, int layer, int upstreams, int callers, double perUpstream, double spread) {}
 
-    /** A number in at most six significant digits. */
+    /** Formats a number with at most six significant digits and no exponent. */
     public static String format(double value) {
         if (Double.isNaN(value) || Double.isInfinite(value)) {
             return String.valueOf(value);
@@ -67,16 +68,19 @@
         return BigDecimal.valueOf(value).round(SIX_DIGITS).stripTrailingZeros().toPlainString();
     }
 
-    /** The figure of this name. */
+    /** Returns the value of the figure with this name. */
     public double figure(String name) {
         return figures.stream()
                 .filter(figure -> figure.name().equals(name))
                 .findFirst()
-                .orElseThrow(() -> new IllegalArgumentException("no figure " + name))
+                .orElseThrow(() -> new IllegalArgumentException("unknown figure: " + name))
                 .value();
     }
 
-    /** SHA-256 over all that was measured, in hexadecimal digits. */
+    /**
+     * Returns the SHA-256, in hexadecimal, of the string forms of all figures and rows. Those contain the names of the
+     * records and their components, so that renaming one of them changes the digest.
+     */
     public String digest() {
         StringBuilder text = new StringBuilder();
         figures.forEach(figure -> text.append(figure).append('\n'));
@@ -86,7 +90,8 @@
             MessageDigest sha256 = MessageDigest.getInstance("SHA-256");
             return HexFormat.of().formatHex(sha256.digest(text.toString().getBytes(StandardCharsets.UTF_8)));
         } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException("each Java platform has SHA-256", e);
+            throw new IllegalStateException(
+                    "SHA-256 is not available, although every Java platform must provide it", e);
         }
     }
 }
--- a/scale/src/main/java/gradehub/scale/result/Slopes.java
+++ b/scale/src/main/java/gradehub/scale/result/Slopes.java
@@ -14,7 +14,7 @@
 import org.apache.commons.csv.CSVPrinter;
 import org.apache.commons.csv.CSVRecord;
 
-/** How the figures of a summary grow with the size of the fleet: a straight line through all runs by least squares. */
+/** Fits the growth of each figure with the size of the fleet: a least-squares line through all runs of a summary. */
 public final class Slopes {
 
     private static final CSVFormat INPUT =
@@ -39,11 +39,11 @@
     private Slopes() {}
 
     /**
-     * A figure over sizes: {@code value = intercept + slope * size}.
+     * The line fitted to a figure of an experiment: {@code value = intercept + slope * size}.
      *
-     * @param minRatio the least value over size of any run
-     * @param maxRatio the greatest value over size of any run
-     * @param valuesBySize the values of the runs of each size, in order of size
+     * @param minRatio the smallest quotient of value and size over all runs
+     * @param maxRatio the largest quotient of value and size over all runs
+     * @param valuesBySize statistics of the values of all runs of a size, by ascending size
      */
     public record LinearFit(
             String experiment,
@@ -55,14 +55,14 @@
             double maxRatio,
             TreeMap<Integer, DoubleSummaryStatistics> valuesBySize) {
 
-        /** How many runs it is fitted to. */
+        /** The number of runs that the line is fitted to. */
         public long runs() {
             return valuesBySize.values().stream()
                     .mapToLong(DoubleSummaryStatistics::getCount)
                     .sum();
         }
 
-        /** The mean of the runs of each size. */
+        /** The mean value of the runs of each size. */
         public Map<Integer, Double> meansBySize() {
             Map<Integer, Double> means = new TreeMap<>();
             valuesBySize.forEach((size, values) -> means.put(size, values.getAverage()));
@@ -76,7 +76,7 @@
 
     private record Point(int size, double value) {}
 
-    /** Reads a summary and fits each of its figures. */
+    /** Reads a summary file and fits a line to each figure of each experiment. */
     public static List<LinearFit> read(Path summary) throws IOException {
         Map<List<String>, List<Point>> points = new LinkedHashMap<>();
         try (CSVParser rows = CSVParser.parse(summary, StandardCharsets.UTF_8, INPUT)) {
@@ -93,7 +93,7 @@
         return fits;
     }
 
-    /** Writes slopes as CSV; figures that are 0 in all runs are left out. */
+    /** Writes the fits as CSV, without figures that are 0 in all runs. */
     public static void write(List<LinearFit> fits, Appendable output) throws IOException {
         CSVPrinter rows = new CSVPrinter(output, OUTPUT);
         for (LinearFit fit : fits) {
--- a/scale/src/main/java/gradehub/scale/result/package-info.java
+++ b/scale/src/main/java/gradehub/scale/result/package-info.java
@@ -1,2 +1,2 @@
-/** Results of runs, their digest, and the CSV files that hold them. */
+/** Results of simulation runs, their digest, the CSV files they are written to, and line fits over fleet sizes. */
 package gradehub.scale.result;
--- a/scale/src/test/java/gradehub/scale/result/SlopesTest.java
+++ b/scale/src/test/java/gradehub/scale/result/SlopesTest.java
@@ -9,14 +9,14 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The line through the figures of several sizes. */
+/** Line fits over runs of several fleet sizes, and the format of their numbers. */
 class SlopesTest {
 
     @TempDir
     private Path directory;
 
     @Test
-    void fitsALineAndTellsTheRangeOfTheRatio() throws IOException {
+    void fitsALineAndReportsTheRangeOfTheRatios() throws IOException {
         try (ResultFiles files = ResultFiles.create(directory, true)) {
             for (int size : new int[] {10, 20, 40}) {
                 files.write(new RunResult(
@@ -45,7 +45,7 @@
     }
 
     @Test
-    void numbersHaveSixDigits() {
+    void numbersAreFormattedWithSixSignificantDigits() {
         assertEquals("0.333333", RunResult.format(1.0 / 3));
         assertEquals("12345700", RunResult.format(12345678));
         assertEquals("0", RunResult.format(0));
