--- a/scale/src/main/java/gradehub/scale/model/Topology.java
+++ b/scale/src/main/java/gradehub/scale/model/Topology.java
@@ -8,23 +8,23 @@
 import java.util.Random;
 
 /**
- * The fleet drawn from its description: which machine runs which service in which zone, and which service calls which.
- * The same seed draws the same fleet.
+ * The randomly generated layout of a fleet: which machine runs which service in which zone, and which service calls
+ * which. The same seed generates the same layout.
  */
 final class Topology {
 
-    /** A zone and the region that it lies in. */
+    /** A zone, the number of its region and its weight in the placement of machines. */
     record Zone(int number, String name, int region, double weight) {}
 
-    /** An instance of a service on a machine of its own. */
+    /** A machine, which runs one instance of a service. */
     record Machine(int number, int service, int zone, int region) {}
 
     /**
-     * A service.
+     * A service with its place in the call graph.
      *
-     * @param callees the services that it calls
-     * @param callerCount machines that call it
-     * @param plannedRate requests a second at the planned rate
+     * @param callees numbers of the services that it calls, all in the next layer
+     * @param callerCount number of machines that call it
+     * @param plannedRate requests per second when root calls come at their planned rate
      */
     record Service(
             int number,
@@ -46,30 +46,29 @@
         this.fleet = fleet;
         this.random = new Random(seed);
         this.regions = fleet.regions().stream().map(Fleet.Region::name).toList();
-        this.zones = zones(fleet);
-        int[] layerOf = layers();
-        int[] sizes = sizes();
-        List<List<Machine>> machinesOf = place(sizes);
-        List<List<Integer>> calledBy = calls(layerOf);
-        double[] planned = planned(layerOf, sizes, calledBy, calls);
-        int[] callers = callers(sizes, calledBy);
+        this.zones = zonesOf(fleet);
+        int[] layerOf = assignLayers();
+        int[] sizes = drawSizes();
+        List<List<Machine>> machinesOf = placeMachines(sizes);
+        List<List<Integer>> calleesOf = assignCallees(layerOf);
+        double[] plannedRates = plannedRates(layerOf, sizes, calleesOf, calls);
+        int[] callerCounts = countCallers(sizes, calleesOf);
         for (int service = 0; service < sizes.length; service++) {
             services.add(new Service(
                     service,
                     layerOf[service],
                     machinesOf.get(service),
-                    calledBy.get(service),
-                    callers[service],
-                    planned[service]));
+                    calleesOf.get(service),
+                    callerCounts[service],
+                    plannedRates[service]));
         }
     }
 
-    /** The services of a layer. */
     List<Service> servicesInLayer(int layer) {
         return services.stream().filter(service -> service.layer() == layer).toList();
     }
 
-    private static List<Zone> zones(Fleet fleet) {
+    private static List<Zone> zonesOf(Fleet fleet) {
         List<Zone> zones = new ArrayList<>();
         for (int region = 0; region < fleet.regions().size(); region++) {
             for (Fleet.Zone zone : fleet.regions().get(region).zones()) {
@@ -79,7 +78,7 @@
         return List.copyOf(zones);
     }
 
-    private int[] layers() {
+    private int[] assignLayers() {
         int[] layerOf = new int[fleet.services()];
         for (int service = 0; service < layerOf.length; service++) {
             layerOf[service] = service * fleet.layers() / layerOf.length;
@@ -87,20 +86,23 @@
         return layerOf;
     }
 
-    /** Most services are small: each machine that is left over joins a service in proportion to its drawn weight. */
-    private int[] sizes() {
+    /**
+     * Gives each service its minimum size and assigns every further machine to a service drawn by log-normal weights, which
+     * leaves most services small.
+     */
+    private int[] drawSizes() {
         int[] sizes = new int[fleet.services()];
         double[] weights = new double[sizes.length];
         for (int service = 0; service < sizes.length; service++) {
             sizes[service] = fleet.minServiceSize();
             weights[service] = Math.exp(random.nextGaussian());
         }
-        int left = fleet.upstreams() - sizes.length * fleet.minServiceSize();
-        while (left > 0) {
-            int service = draw(weights);
+        int unassigned = fleet.upstreams() - sizes.length * fleet.minServiceSize();
+        while (unassigned > 0) {
+            int service = drawIndex(weights);
             if (sizes[service] < fleet.maxServiceSize()) {
                 sizes[service]++;
-                left--;
+                unassigned--;
             } else {
                 weights[service] = 0;
             }
@@ -108,18 +110,19 @@
         return sizes;
     }
 
-    private int draw(double[] weights) {
+    /** Draws an index with a probability proportional to its weight. */
+    private int drawIndex(double[] weights) {
         double sum = 0;
         for (double weight : weights) {
             sum += weight;
         }
-        double at = random.nextDouble() * sum;
+        double remaining = random.nextDouble() * sum;
         int drawn = 0;
         for (int i = 0; i < weights.length; i++) {
             if (weights[i] > 0) {
                 drawn = i;
-                at -= weights[i];
-                if (at < 0) {
+                remaining -= weights[i];
+                if (remaining < 0) {
                     break;
                 }
             }
@@ -127,44 +130,44 @@
         return drawn;
     }
 
-    private List<List<Machine>> place(int[] sizes) {
+    private List<List<Machine>> placeMachines(int[] sizes) {
         double[] weights = zones.stream().mapToDouble(Zone::weight).toArray();
         List<List<Machine>> machinesOf = new ArrayList<>();
         for (int service = 0; service < sizes.length; service++) {
-            List<Machine> ofService = new ArrayList<>();
+            List<Machine> instances = new ArrayList<>();
             for (int i = 0; i < sizes[service]; i++) {
-                Zone zone = zones.get(draw(weights));
+                Zone zone = zones.get(drawIndex(weights));
                 Machine machine = new Machine(machines.size(), service, zone.number(), zone.region());
                 machines.add(machine);
-                ofService.add(machine);
+                instances.add(machine);
             }
-            machinesOf.add(List.copyOf(ofService));
+            machinesOf.add(List.copyOf(instances));
         }
         return machinesOf;
     }
 
-    /** Each service but those of layer 0 is called by one service at least. */
-    private List<List<Integer>> calls(int[] layerOf) {
-        List<List<Integer>> calledBy = new ArrayList<>();
+    /** Draws the callees of each service; every service below layer 0 gets at least one caller. */
+    private List<List<Integer>> assignCallees(int[] layerOf) {
+        List<List<Integer>> calleesOf = new ArrayList<>();
         for (int service = 0; service < layerOf.length; service++) {
-            calledBy.add(new ArrayList<>());
+            calleesOf.add(new ArrayList<>());
         }
         for (int layer = 0; layer < fleet.hops(); layer++) {
-            List<Integer> callers = inLayer(layerOf, layer);
-            List<Integer> called = inLayer(layerOf, layer + 1);
-            Collections.shuffle(called, random);
-            for (int i = 0; i < Math.max(called.size(), callers.size() * fleet.calledServices()); i++) {
-                List<Integer> ofCaller = calledBy.get(callers.get(i % callers.size()));
-                int service = called.get(i % called.size());
-                if (!ofCaller.contains(service)) {
-                    ofCaller.add(service);
+            List<Integer> callers = serviceNumbersInLayer(layerOf, layer);
+            List<Integer> candidates = serviceNumbersInLayer(layerOf, layer + 1);
+            Collections.shuffle(candidates, random);
+            for (int i = 0; i < Math.max(candidates.size(), callers.size() * fleet.calledServices()); i++) {
+                List<Integer> callees = calleesOf.get(callers.get(i % callers.size()));
+                int callee = candidates.get(i % candidates.size());
+                if (!callees.contains(callee)) {
+                    callees.add(callee);
                 }
             }
         }
-        return calledBy;
+        return calleesOf;
     }
 
-    private static List<Integer> inLayer(int[] layerOf, int layer) {
+    private static List<Integer> serviceNumbersInLayer(int[] layerOf, int layer) {
         List<Integer> services = new ArrayList<>();
         for (int service = 0; service < layerOf.length; service++) {
             if (layerOf[service] == layer) {
@@ -174,30 +177,30 @@
         return services;
     }
 
-    /** Layer 0 by the number of machines; below it each service calls those under it equally often. */
-    private static double[] planned(int[] layerOf, int[] sizes, List<List<Integer>> calledBy, CallModel calls) {
-        double[] planned = new double[sizes.length];
+    /** Splits the root calls over layer 0 by machines, and the calls of each service evenly over its callees. */
+    private static double[] plannedRates(int[] layerOf, int[] sizes, List<List<Integer>> calleesOf, CallModel calls) {
+        double[] rates = new double[sizes.length];
         int rootMachines = 0;
         for (int service = 0; service < sizes.length; service++) {
             rootMachines += layerOf[service] == 0 ? sizes[service] : 0;
         }
         for (int service = 0; service < sizes.length; service++) {
-            planned[service] += layerOf[service] == 0 ? calls.rootCallsPerSecond() * sizes[service] / rootMachines : 0;
-            List<Integer> called = calledBy.get(service);
-            for (int other : called) {
-                planned[other] += planned[service] * calls.callsPerRequest() / called.size();
+            rates[service] += layerOf[service] == 0 ? calls.rootCallsPerSecond() * sizes[service] / rootMachines : 0;
+            List<Integer> callees = calleesOf.get(service);
+            for (int callee : callees) {
+                rates[callee] += rates[service] * calls.callsPerRequest() / callees.size();
             }
         }
-        return planned;
+        return rates;
     }
 
-    private static int[] callers(int[] sizes, List<List<Integer>> calledBy) {
-        int[] callers = new int[sizes.length];
+    private static int[] countCallers(int[] sizes, List<List<Integer>> calleesOf) {
+        int[] counts = new int[sizes.length];
         for (int service = 0; service < sizes.length; service++) {
-            for (int other : calledBy.get(service)) {
-                callers[other] += sizes[service];
+            for (int callee : calleesOf.get(service)) {
+                counts[callee] += sizes[service];
             }
         }
-        return callers;
+        return counts;
     }
 }
