--- a/scale/src/main/java/gradehub/scale/model/Network.java
+++ b/scale/src/main/java/gradehub/scale/model/Network.java
@@ -3,12 +3,12 @@
 import gradehub.scale.experiment.NetworkModel;
 
 /**
- * Delays between machines, and which regions reach each other; messages over a cut path are lost in silence. The list
- * service stands in the first region, in no zone of the fleet.
+ * Message delays between machines and the connectivity of regions. A message to a region that is not connected is lost
+ * without an error. The list service runs in the first region, outside the zones of the fleet.
  */
 final class Network {
 
-    /** What lies between two machines. */
+    /** Distance between two machines. */
     enum Distance {
         SAME_ZONE,
         OTHER_ZONE,
@@ -21,24 +21,24 @@
     private final boolean[] isolated;
     private final long[] reconnectedMicros;
 
-    Network(NetworkModel model, int regions) {
+    Network(NetworkModel model, int regionCount) {
         this.model = model;
-        this.isolated = new boolean[regions];
-        this.reconnectedMicros = new long[regions];
+        this.isolated = new boolean[regionCount];
+        this.reconnectedMicros = new long[regionCount];
     }
 
     NetworkModel model() {
         return model;
     }
 
-    static Distance distance(Topology.Machine one, Topology.Machine other) {
-        if (one.region() != other.region()) {
+    static Distance distance(Topology.Machine from, Topology.Machine to) {
+        if (from.region() != to.region()) {
             return Distance.OTHER_REGION;
         }
-        return one.zone() == other.zone() ? Distance.SAME_ZONE : Distance.OTHER_ZONE;
+        return from.zone() == to.zone() ? Distance.SAME_ZONE : Distance.OTHER_ZONE;
     }
 
-    /** The time that a message takes. */
+    /** The one-way delay of a message over this distance. */
     long delayMicros(Distance distance) {
         return switch (distance) {
             case SAME_ZONE -> model.sameZoneMicros();
@@ -47,38 +47,38 @@
         };
     }
 
-    /** The time that a message to or from the list service takes. */
+    /** The one-way delay of a message to or from the list service. */
     long listServiceDelayMicros(Topology.Machine machine) {
         return delayMicros(machine.region() == LIST_SERVICE_REGION ? Distance.OTHER_ZONE : Distance.OTHER_REGION);
     }
 
-    boolean isReachable(Topology.Machine one, Topology.Machine other) {
-        return areRegionsConnected(one.region(), other.region());
+    boolean isReachable(Topology.Machine from, Topology.Machine to) {
+        return areRegionsConnected(from.region(), to.region());
     }
 
     boolean isListServiceReachable(Topology.Machine machine) {
         return areRegionsConnected(machine.region(), LIST_SERVICE_REGION);
     }
 
-    /** When the path to the list service was last whole again; 0 if it was never cut. */
+    /** When the machine's path to the list service was last restored; 0 if it was never interrupted. */
     long listServiceReconnectedMicros(Topology.Machine machine) {
         return machine.region() == LIST_SERVICE_REGION
                 ? 0
                 : Math.max(reconnectedMicros[machine.region()], reconnectedMicros[LIST_SERVICE_REGION]);
     }
 
-    /** Cuts a region off from the others. */
+    /** Disconnects a region from all others. */
     void isolateRegion(int region) {
         isolated[region] = true;
     }
 
-    /** Makes a region's paths whole again. */
+    /** Connects a region to the others again. */
     void reconnectRegion(long nowMicros, int region) {
         isolated[region] = false;
         reconnectedMicros[region] = nowMicros;
     }
 
-    private boolean areRegionsConnected(int one, int other) {
-        return one == other || !isolated[one] && !isolated[other];
+    private boolean areRegionsConnected(int from, int to) {
+        return from == to || !isolated[from] && !isolated[to];
     }
 }
--- a/scale/src/main/java/gradehub/scale/model/Simulation.java
+++ b/scale/src/main/java/gradehub/scale/model/Simulation.java
@@ -4,19 +4,19 @@
 import gradehub.scale.experiment.Fault;
 import gradehub.scale.result.RunResult;
 
-/** Plays one experiment on a simulated clock. The same experiment with the same seed gives the same result. */
+/** Runs one experiment on a simulated clock. The same experiment with the same seed gives the same result. */
 public final class Simulation {
 
-    /** Told of the progress of a run. */
+    /** Receives the progress of a run. */
     @FunctionalInterface
     public interface ProgressListener {
-        /** So much simulated time has passed and so many calls have been made; false ends the run. */
+        /** Called after each simulated second, with all calls made so far; returns false to stop the run. */
         boolean onProgress(double simulatedSeconds, long calls);
     }
 
     private final SimulationContext context;
 
-    /** Builds the fleet; nothing has happened yet. */
+    /** Builds the fleet; {@link #run} starts it. */
     public Simulation(Experiment experiment) {
         this(new SimulationContext(experiment));
     }
@@ -25,17 +25,18 @@
         this.context = context;
     }
 
-    /** Plays the experiment to its end, or until {@code progress} ends it, and tells what was measured. */
+    /** Runs the experiment to its end, or until {@code listener} stops it, and returns the measurements. */
     public RunResult run(ProgressListener listener) {
         start();
-        long end = SimulationContext.toMicros(context.experiment.totalSeconds());
+        long endMicros = SimulationContext.toMicros(context.experiment.totalSeconds());
         boolean running = true;
-        while (running && context.queue.nowMicros() < end) {
-            context.queue.runUntil(Math.min(end, context.queue.nowMicros() + SimulationContext.MICROS_PER_SECOND));
-            double seconds = context.queue.nowMicros() / (double) SimulationContext.MICROS_PER_SECOND;
-            running = listener.onProgress(seconds, context.measurements.totalCalls);
+        while (running && context.queue.nowMicros() < endMicros) {
+            context.queue.runUntil(
+                    Math.min(endMicros, context.queue.nowMicros() + SimulationContext.MICROS_PER_SECOND));
+            double simulatedSeconds = context.queue.nowMicros() / (double) SimulationContext.MICROS_PER_SECOND;
+            running = listener.onProgress(simulatedSeconds, context.measurements.totalCalls);
         }
-        return Figures.compute(context, context.queue.nowMicros() >= end);
+        return Figures.compute(context, context.queue.nowMicros() >= endMicros);
     }
 
     private void start() {
--- a/scale/src/main/java/gradehub/scale/model/SimulationContext.java
+++ b/scale/src/main/java/gradehub/scale/model/SimulationContext.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.SplittableRandom;
 
-/** All parts of one simulated fleet, which find each other here. */
+/** The parts of one simulated fleet, with the clock, the random numbers and the measurements that they share. */
 final class SimulationContext {
 
     static final long MICROS_PER_MILLI = 1000;
@@ -34,7 +34,7 @@
         }
     }
 
-    /** A source of random numbers of its own for a part of the fleet. */
+    /** Splits off a random number generator, so that each part of the fleet draws from its own. */
     SplittableRandom newRandom() {
         return random.split();
     }
@@ -47,15 +47,15 @@
         return Math.round(seconds * MICROS_PER_SECOND);
     }
 
-    /** Whether messages get through between two machines: neither is silent, and no path is cut. */
-    boolean isReachable(Topology.Machine one, Topology.Machine other) {
-        return !upstreams.get(one.number()).isSilent()
-                && !upstreams.get(other.number()).isSilent()
-                && network.isReachable(one, other);
+    /** Whether messages pass between two machines: both are responsive and their regions are connected. */
+    boolean isReachable(Topology.Machine from, Topology.Machine to) {
+        return !upstreams.get(from.number()).isSilent()
+                && !upstreams.get(to.number()).isSilent()
+                && network.isReachable(from, to);
     }
 
-    /** The delay of a message between two machines. */
-    long delayMicros(Topology.Machine one, Topology.Machine other) {
-        return network.delayMicros(Network.distance(one, other));
+    /** The one-way delay of a message between two machines. */
+    long delayMicros(Topology.Machine from, Topology.Machine to) {
+        return network.delayMicros(Network.distance(from, to));
     }
 }
