--- a/scale/src/main/java/gradehub/scale/model/ApplicationCall.java
+++ b/scale/src/main/java/gradehub/scale/model/ApplicationCall.java
@@ -11,13 +11,12 @@
     }
 
     private final SimulationContext context;
-    private final Operation operation;
+    private final FanOut operation;
     private final ServiceClient client;
     private final long deadlineMicros;
     private int triesLeft;
 
-    ApplicationCall(
-            SimulationContext context, Operation operation, ServiceClient client, long deadlineMicros, int tries) {
+    ApplicationCall(SimulationContext context, FanOut operation, ServiceClient client, long deadlineMicros, int tries) {
         this.context = context;
         this.operation = operation;
         this.client = client;
--- a/scale/src/main/java/gradehub/scale/model/ListClient.java
+++ b/scale/src/main/java/gradehub/scale/model/ListClient.java
@@ -11,7 +11,7 @@
     private static final double CONNECT_MILLIS = DiscoveryTimeouts.CONNECT_TIMEOUT_MS;
 
     private final SimulationContext context;
-    private final ModelSidecar sidecar;
+    private final SimulatedSidecar sidecar;
     private Watch watch;
     private int revision = -1;
     private long heardMicros;
@@ -21,7 +21,7 @@
     /** When the sidecar was told of another list service from which it has no list yet, or -1. */
     private long movedMicros = -1;
 
-    ListClient(SimulationContext context, ModelSidecar sidecar) {
+    ListClient(SimulationContext context, SimulatedSidecar sidecar) {
         this.context = context;
         this.sidecar = sidecar;
     }
@@ -81,7 +81,7 @@
         }
         close(nowMicros);
         lost = true;
-        sidecar.listFailed(nowMicros);
+        sidecar.watchFailed(nowMicros);
     }
 
     /** Something has come over the watch; {@code update} is null for an empty line. */
@@ -93,7 +93,7 @@
         if (update != null) {
             measure(nowMicros, update);
             revision = update.revision();
-            sidecar.tell(nowMicros, update.complete() ? ListKind.FULL : ListKind.DELTA, update.entries());
+            sidecar.updateUpstreams(nowMicros, update.complete() ? ListKind.FULL : ListKind.DELTA, update.entries());
         }
     }
 
--- a/scale/src/main/java/gradehub/scale/model/ListService.java
+++ b/scale/src/main/java/gradehub/scale/model/ListService.java
@@ -56,7 +56,8 @@
     }
 
     boolean reaches(Topology.Machine machine) {
-        return !context.upstreams.get(machine.number()).isSilent() && context.network.isListServiceReachable(machine);
+        return !context.upstreams.get(machine.number()).isMachineLost()
+                && context.network.isListServiceReachable(machine);
     }
 
     /** Since when it is up and the path from this machine is whole. */
--- a/scale/src/main/java/gradehub/scale/model/ServiceClient.java
+++ b/scale/src/main/java/gradehub/scale/model/ServiceClient.java
@@ -37,14 +37,14 @@
     private static final double[] NO_REPORT = {};
 
     private final SimulationContext context;
-    private final ModelSidecar sidecar;
+    private final SimulatedSidecar sidecar;
     private final int maxAttempts;
     private final Balancer balancer;
     private final Map<Integer, Exchange> exchanges = new HashMap<>();
     private int lastRequest;
     private boolean live = true;
 
-    ServiceClient(SimulationContext context, ModelSidecar sidecar, Balancer.Settings settings, long seed) {
+    ServiceClient(SimulationContext context, SimulatedSidecar sidecar, Balancer.Settings settings, long seed) {
         this.context = context;
         this.sidecar = sidecar;
         this.maxAttempts = settings.limits().maxAttempts();
@@ -135,7 +135,7 @@
                 ? exchange.deadlineMicros
                 : now + Math.round(timeoutMs * SimulationContext.MICROS_PER_MILLI);
         long deadline = Math.min(wanted, exchange.deadlineMicros);
-        ModelUpstream target = context.upstreams.get(upstream);
+        SimulatedUpstream target = context.upstreams.get(upstream);
         Attempt attempt = new Attempt(this, exchange, exchange.attempts.size(), target, now, deadline);
         exchange.attempts.add(attempt);
         exchange.out++;
--- a/scale/src/main/java/gradehub/scale/model/Simulation.java
+++ b/scale/src/main/java/gradehub/scale/model/Simulation.java
@@ -40,7 +40,7 @@
     }
 
     private void start() {
-        for (ModelSidecar sidecar : context.sidecars) {
+        for (SimulatedSidecar sidecar : context.sidecars) {
             sidecar.start(0, context.listService.fullList(sidecar.machine()));
         }
         RootClients.start(context);
--- a/scale/src/main/java/gradehub/scale/model/SimulationContext.java
+++ b/scale/src/main/java/gradehub/scale/model/SimulationContext.java
@@ -17,8 +17,8 @@
     final Network network;
     final Measurements measurements;
     final ListService listService;
-    final List<ModelUpstream> upstreams = new ArrayList<>();
-    final List<ModelSidecar> sidecars = new ArrayList<>();
+    final List<SimulatedUpstream> upstreams = new ArrayList<>();
+    final List<SimulatedSidecar> sidecars = new ArrayList<>();
     private final SplittableRandom random;
 
     SimulationContext(Experiment experiment) {
@@ -29,8 +29,8 @@
         this.measurements = new Measurements(experiment, topology);
         this.listService = new ListService(this);
         for (Topology.Machine machine : topology.machines) {
-            upstreams.add(new ModelUpstream(this, machine));
-            sidecars.add(new ModelSidecar(this, machine));
+            upstreams.add(new SimulatedUpstream(this, machine));
+            sidecars.add(new SimulatedSidecar(this, machine));
         }
     }
 
@@ -47,10 +47,10 @@
         return Math.round(seconds * MICROS_PER_SECOND);
     }
 
-    /** Whether messages pass between two machines: both are responsive and their regions are connected. */
+    /** Whether messages pass between two machines: neither is lost, and their regions are connected. */
     boolean isReachable(Topology.Machine from, Topology.Machine to) {
-        return !upstreams.get(from.number()).isSilent()
-                && !upstreams.get(to.number()).isSilent()
+        return !upstreams.get(from.number()).isMachineLost()
+                && !upstreams.get(to.number()).isMachineLost()
                 && network.isReachable(from, to);
     }
 
