--- a/scale/src/main/java/gradehub/scale/ModelCommand.java
+++ b/scale/src/main/java/gradehub/scale/ModelCommand.java
@@ -95,7 +95,7 @@
             for (Future<RunResult> future : futures) {
                 RunResult result = future.get();
                 if (result != null) {
-                    files.add(result);
+                    files.write(result);
                 }
             }
         } finally {
