--- a/scale/src/main/java/gradehub/scale/ModelCommand.java
+++ b/scale/src/main/java/gradehub/scale/ModelCommand.java
@@ -84,7 +84,7 @@
         }
     }
 
-    /** Executes the runs, which share no state; results are written in the order of the experiments, whichever run ends first. */
+    /** Executes the runs, which share no state, and writes their results in the order of the experiments. */
     private void runAll(List<Experiment> experiments) throws IOException, InterruptedException, ExecutionException {
         ExecutorService executor = Executors.newFixedThreadPool(parallel);
         try (ResultFiles files = ResultFiles.create(out, summaryOnly)) {
--- a/scale/src/main/java/gradehub/scale/experiment/Experiment.java
+++ b/scale/src/main/java/gradehub/scale/experiment/Experiment.java
@@ -34,8 +34,8 @@
     }
 
     /**
-     * Returns this experiment with a fleet of another size. The rate of root calls and the number of machines in
-     * each fault, which is at least 1, are scaled in proportion.
+     * Returns this experiment with a fleet of another size. The rate of root calls and the numbers of machines
+     * in faults are scaled in proportion; the latter are at least 1.
      */
     public Experiment scaledTo(int upstreams) {
         double ratio = (double) upstreams / fleet.upstreams();
--- a/scale/src/main/java/gradehub/scale/experiment/ExperimentReader.java
+++ b/scale/src/main/java/gradehub/scale/experiment/ExperimentReader.java
@@ -92,7 +92,7 @@
     private static String uniqueName(FieldReader fields, Set<String> usedNames) throws ExperimentFileException {
         String name = fields.string("name");
         if (!usedNames.add(name)) {
-            throw fields.error("name", "duplicate name: " + name);
+            throw fields.error("name", name + " is already the name of another region or zone");
         }
         return name;
     }
@@ -133,7 +133,7 @@
 
     private static ListServiceModel listService(FieldReader fields) throws ExperimentFileException {
         return new ListServiceModel(
-                fields.choice("scope", ListServiceModel.Scope.class),
+                fields.enumConstant("scope", ListServiceModel.Scope.class),
                 fields.integer("callMicros", 0, MAX_MICROS),
                 fields.integer("entryMicros", 0, MAX_MICROS),
                 fields.integer("timeoutMillis", 1, MAX_MILLIS),
--- a/scale/src/main/java/gradehub/scale/experiment/FaultReader.java
+++ b/scale/src/main/java/gradehub/scale/experiment/FaultReader.java
@@ -20,7 +20,7 @@
     private FaultReader() {}
 
     static Fault read(FieldReader fields, Fleet fleet, double runSeconds) throws ExperimentFileException {
-        Kind kind = fields.choice("kind", Kind.class);
+        Kind kind = fields.enumConstant("kind", Kind.class);
         double startSeconds = fields.number("atSeconds", 0, runSeconds);
         double durationSeconds = fields.number("forSeconds", 0, runSeconds);
         return switch (kind) {
--- a/scale/src/main/java/gradehub/scale/experiment/Fleet.java
+++ b/scale/src/main/java/gradehub/scale/experiment/Fleet.java
@@ -53,12 +53,12 @@
      * bounds that the number of layers and the size limits of a service set.
      */
     public Fleet scaledTo(int newUpstreams) {
-        int scaled = (int) Math.round((double) services * newUpstreams / upstreams);
+        int scaledServices = (int) Math.round((double) services * newUpstreams / upstreams);
         int maxServices = newUpstreams / minServiceSize;
         int minServices = Math.max(layers(), (newUpstreams + maxServiceSize - 1) / maxServiceSize);
         return new Fleet(
                 newUpstreams,
-                Math.max(minServices, Math.min(maxServices, scaled)),
+                Math.max(minServices, Math.min(maxServices, scaledServices)),
                 minServiceSize,
                 maxServiceSize,
                 hops,
