--- a/scale/src/test/java/gradehub/scale/result/SlopesTest.java
+++ b/scale/src/test/java/gradehub/scale/result/SlopesTest.java
@@ -9,17 +9,17 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The line through the figures of several sizes. */
+/** Line fits over runs of several fleet sizes, and the format of their numbers. */
 class SlopesTest {
 
     @TempDir
-    private Path folder;
+    private Path directory;
 
     @Test
-    void fitsALineAndTellsTheRangeOfTheRatio() throws IOException {
-        try (ResultFiles files = ResultFiles.create(folder, true)) {
+    void fitsALineAndReportsTheRangeOfTheRatios() throws IOException {
+        try (ResultFiles files = ResultFiles.create(directory, true)) {
             for (int size : new int[] {10, 20, 40}) {
-                files.add(new RunResult(
+                files.write(new RunResult(
                         "day",
                         size,
                         1,
@@ -29,23 +29,23 @@
                         List.of()));
             }
         }
-        Slopes.LinearFit slope =
-                Slopes.read(folder.resolve(ResultFiles.SUMMARY)).get(0);
-        assertEquals(3, slope.slope(), 1e-9);
-        assertEquals(5, slope.intercept(), 1e-9);
-        assertEquals(3.125, slope.leastRatio(), 1e-9);
-        assertEquals(3.5, slope.mostRatio(), 1e-9);
-        assertEquals(Map.of(10, 35.0, 20, 65.0, 40, 125.0), slope.means());
-        assertEquals(3, slope.runs());
+        Slopes.LinearFit fit =
+                Slopes.read(directory.resolve(ResultFiles.SUMMARY)).get(0);
+        assertEquals(3, fit.slope(), 1e-9);
+        assertEquals(5, fit.intercept(), 1e-9);
+        assertEquals(3.125, fit.minRatio(), 1e-9);
+        assertEquals(3.5, fit.maxRatio(), 1e-9);
+        assertEquals(Map.of(10, 35.0, 20, 65.0, 40, 125.0), fit.meansBySize());
+        assertEquals(3, fit.runs());
         StringBuilder csv = new StringBuilder();
-        Slopes.write(List.of(slope), csv);
+        Slopes.write(List.of(fit), csv);
         assertEquals(
                 "day,bytes,B/s,3,5,3.125,3.5,3,10:35 20:65 40:125,125,125",
                 csv.toString().lines().skip(1).findFirst().orElseThrow());
     }
 
     @Test
-    void numbersHaveSixDigits() {
+    void numbersAreFormattedWithSixSignificantDigits() {
         assertEquals("0.333333", RunResult.format(1.0 / 3));
         assertEquals("12345700", RunResult.format(12345678));
         assertEquals("0", RunResult.format(0));
