--- a/scale/src/main/java/gradehub/scale/model/FaultSchedule.java
+++ b/scale/src/main/java/gradehub/scale/model/FaultSchedule.java
@@ -132,7 +132,7 @@
             SimulatedSidecar sidecar = sidecars.get(i);
             context.queue.scheduleAt(
                     from + spreadMicros * i / sidecars.size(),
-                    now -> sidecar.listClient().moveTo(now));
+                    now -> sidecar.listClient().changeAddress(now));
         }
     }
 }
--- a/scale/src/main/java/gradehub/scale/result/ResultFiles.java
+++ b/scale/src/main/java/gradehub/scale/result/ResultFiles.java
@@ -8,35 +8,35 @@
 import org.apache.commons.csv.CSVFormat;
 import org.apache.commons.csv.CSVPrinter;
 
-/** Writes results as CSV: a summary of all runs, and for each run its seconds and its services. */
+/** Writes results as CSV: one summary of all runs and, for each run, a file of its seconds and one of its services. */
 public final class ResultFiles implements Closeable {
 
-    /** Name of the summary's file. */
+    /** File name of the summary. */
     public static final String SUMMARY = "summary.csv";
 
     private static final CSVFormat FORMAT =
             CSVFormat.DEFAULT.builder().setRecordSeparator('\n').build();
 
-    private final Path folder;
+    private final Path directory;
     private final boolean summaryOnly;
     private final CSVPrinter summary;
 
-    private ResultFiles(Path folder, boolean summaryOnly, CSVPrinter summary) {
-        this.folder = folder;
+    private ResultFiles(Path directory, boolean summaryOnly, CSVPrinter summary) {
+        this.directory = directory;
         this.summaryOnly = summaryOnly;
         this.summary = summary;
     }
 
-    /** Begins the files of a folder anew. */
-    public static ResultFiles create(Path folder, boolean summaryOnly) throws IOException {
-        Files.createDirectories(folder);
-        CSVPrinter summary =
-                open(folder.resolve(SUMMARY), "experiment", "size", "seed", "complete", "figure", "value", "unit");
-        return new ResultFiles(folder, summaryOnly, summary);
+    /** Creates the directory if needed and opens its summary file, replacing an existing one. */
+    public static ResultFiles create(Path directory, boolean summaryOnly) throws IOException {
+        Files.createDirectories(directory);
+        CSVPrinter summary = openCsv(
+                directory.resolve(SUMMARY), "experiment", "size", "seed", "complete", "figure", "value", "unit");
+        return new ResultFiles(directory, summaryOnly, summary);
     }
 
-    /** Writes the results of a run. */
-    public void add(RunResult result) throws IOException {
+    /** Appends a run to the summary and, unless {@code summaryOnly}, writes its own files. */
+    public void write(RunResult result) throws IOException {
         for (RunResult.Figure figure : result.figures()) {
             summary.printRecord(
                     result.experiment(),
@@ -63,8 +63,8 @@
     }
 
     private void writeSeconds(RunResult result) throws IOException {
-        Path file = folder.resolve(name(result, "seconds"));
-        try (CSVPrinter rows = open(
+        Path file = directory.resolve(fileName(result, "seconds"));
+        try (CSVPrinter rows = openCsv(
                 file,
                 "second",
                 "root-offered",
@@ -95,8 +95,8 @@
     }
 
     private void writeServices(RunResult result) throws IOException {
-        Path file = folder.resolve(name(result, "services"));
-        try (CSVPrinter rows = open(file, "service", "layer", "upstreams", "callers", "per-upstream", "spread")) {
+        Path file = directory.resolve(fileName(result, "services"));
+        try (CSVPrinter rows = openCsv(file, "service", "layer", "upstreams", "callers", "per-upstream", "spread")) {
             for (RunResult.ServiceLoad row : result.services()) {
                 rows.printRecord(
                         row.service(),
@@ -109,11 +109,11 @@
         }
     }
 
-    private static String name(RunResult result, String what) {
-        return result.experiment() + "-" + result.size() + "-" + result.seed() + "-" + what + ".csv";
+    private static String fileName(RunResult result, String kind) {
+        return result.experiment() + "-" + result.size() + "-" + result.seed() + "-" + kind + ".csv";
     }
 
-    private static CSVPrinter open(Path file, String... header) throws IOException {
+    private static CSVPrinter openCsv(Path file, String... header) throws IOException {
         CSVPrinter printer = new CSVPrinter(Files.newBufferedWriter(file, StandardCharsets.UTF_8), FORMAT);
         printer.printRecord((Object[]) header);
         return printer;
