--- a/sidecar/src/test/java/gradehub/node/SidecarTest.java
+++ b/sidecar/src/test/java/gradehub/node/SidecarTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** The whole sidecar over loopback sockets, with the test as client, upstream and discovery. */
+/** End-to-end tests of the sidecar over loopback sockets; the test acts as client, upstream and discovery. */
 class SidecarTest {
 
     private SidecarFixture fixture;
@@ -30,7 +30,7 @@
         fixture.close();
     }
 
-    private RawConnection startWithOne() throws Exception {
+    private RawConnection startWithOneUpstream() throws Exception {
         return fixture.start(SidecarFixture.list(
                         1, true, SidecarFixture.member("u1", SidecarFixture.address(upstream), "active")))
                 .client();
@@ -38,15 +38,17 @@
 
     @Test
     void requestIsForwardedUnchangedAndItsAnswerReturned() throws Exception {
-        try (RawConnection client = startWithOne()) {
+        try (RawConnection client = startWithOneUpstream()) {
             client.send(SidecarFixture.postRequest(SidecarFixture.requestId(1), "payload"));
             RawConnection up = SidecarFixture.accept(upstream);
             Message request = up.read();
             assertEquals("POST /event-submit HTTP/1.1", request.startLine());
             assertEquals("payload", request.body());
             assertEquals(SidecarFixture.requestId(1), request.header("X-Txn"));
-            long left = Long.parseLong(request.header("X-Remaining-Ms"));
-            assertTrue(left > 0 && left <= 30_000, "it tells how long the sidecar waits: " + left);
+            long remainingMs = Long.parseLong(request.header("X-Remaining-Ms"));
+            assertTrue(
+                    remainingMs > 0 && remainingMs <= 30_000,
+                    "X-Remaining-Ms is how long the sidecar waits: " + remainingMs);
             up.send(SidecarFixture.answer("200 OK", "done", "X-Pressure: rps=1,cpu=0.5,err_rps=0"));
             Message answer = client.read();
             assertEquals(200, answer.status());
@@ -56,7 +58,7 @@
 
     @Test
     void hopByHopHeadersAreNotForwarded() throws Exception {
-        try (RawConnection client = startWithOne()) {
+        try (RawConnection client = startWithOneUpstream()) {
             client.send(SidecarFixture.getRequest(SidecarFixture.requestId(1))
                     .replace("X-Lane", "Connection: X-Private\r\nX-Private: 1\r\nX-Lane"));
             Message request = SidecarFixture.accept(upstream).read();
@@ -69,7 +71,7 @@
     /** A new connection costs an upstream tens of milliseconds of work, so the second request reuses the first's. */
     @Test
     void upstreamConnectionIsReused() throws Exception {
-        try (RawConnection client = startWithOne()) {
+        try (RawConnection client = startWithOneUpstream()) {
             client.send(SidecarFixture.getRequest(SidecarFixture.requestId(1)));
             RawConnection up = SidecarFixture.accept(upstream);
             up.read();
@@ -83,10 +85,10 @@
         }
     }
 
-    /** Clients with short deadlines were mistaken for late retries and refused at once. */
+    /** Guards against taking clients with short deadlines for late retries, which are refused at once. */
     @Test
     void firstAttemptWithShortDeadlineIsServed() throws Exception {
-        try (RawConnection client = startWithOne()) {
+        try (RawConnection client = startWithOneUpstream()) {
             client.send(SidecarFixture.getRequest(SidecarFixture.requestId(0)));
             RawConnection up = SidecarFixture.accept(upstream);
             for (int i = 1; i < 6; i++) {
@@ -101,35 +103,42 @@
         }
     }
 
-    /** Clients that sent one request and stayed connected held descriptors for at least two seconds each. */
+    /**
+     * Guards against clients that send one request each and stay connected: every one of them held a descriptor for at
+     * least two seconds.
+     */
     @Test
-    void connectionClosesAfterItsFirstAnswerWhenClientsAreCrowded() throws Exception {
-        String ask = "GET /ready HTTP/1.1\r\nHost: origin.svc\r\n\r\n";
-        int maxRequests = 20; // requests: half of the descriptors above the reserve
+    void newConnectionClosesAfterFirstAnswerWhenClientsExceedMaxRequests() throws Exception {
+        String readinessRequest = "GET /ready HTTP/1.1\r\nHost: origin.svc\r\n\r\n";
+        int maxRequests = 20; // half of the descriptors above the reserve
         fixture.start(
                 SidecarFixture.list(1, true, SidecarFixture.member("u1", SidecarFixture.address(upstream), "active")),
                 SocketBudget.RESERVED_DESCRIPTORS + 2 * maxRequests);
-        RawConnection known = fixture.client().send(ask + SidecarFixture.getRequest(SidecarFixture.requestId(0)));
-        assertNull(known.read().header("Connection"), "there is room");
+        RawConnection reusedClient =
+                fixture.client().send(readinessRequest + SidecarFixture.getRequest(SidecarFixture.requestId(0)));
+        assertNull(reusedClient.read().header("Connection"), "the number of clients is below the limit");
         RawConnection up = SidecarFixture.accept(upstream);
         assertEquals(SidecarFixture.requestId(0), up.read().header("X-Txn"));
         for (int i = 1; i < maxRequests; i++) {
             fixture.client().send(SidecarFixture.getRequest(SidecarFixture.requestId(i)));
         }
-        try (RawConnection added = fixture.client().send(ask)) {
-            assertEquals("close", added.read().header("Connection"));
-            assertTrue(added.awaitClose());
+        try (RawConnection newClient = fixture.client().send(readinessRequest)) {
+            assertEquals("close", newClient.read().header("Connection"));
+            assertTrue(newClient.awaitClose());
         }
         fixture.client();
         up.send(SidecarFixture.answer("200 OK", ""));
-        assertNull(known.read().header("Connection"), "it has come back before");
+        assertNull(reusedClient.read().header("Connection"), "a reused connection stays open");
     }
 
-    /** When client connections ran out, the most valuable requests were lost as often as the least valuable. */
+    /**
+     * Guards against losing the most valuable requests as often as the least valuable ones when client connections run
+     * out.
+     */
     @Test
     void lastClientConnectionsAreKeptForMoreValuableRequests() throws Exception {
-        int maxRequests = 6; // requests: half of the descriptors above the reserve
-        int held = 3; // further connections are kept for more valuable requests
+        int maxRequests = 6; // half of the descriptors above the reserve
+        int heldConnections = 3; // the other connections are kept for more valuable requests
         fixture.start(
                 SidecarFixture.list(1, true, SidecarFixture.member("u1", SidecarFixture.address(upstream), "active")),
                 SocketBudget.RESERVED_DESCRIPTORS + 2 * maxRequests);
@@ -143,29 +152,33 @@
             }
         }
         assertEquals(200, first.read().status());
-        for (int i = 2; i <= held; i++) {
+        for (int i = 2; i <= heldConnections; i++) {
             fixture.client().send(SidecarFixture.getRequest(SidecarFixture.requestId(i)));
             assertEquals(
                     SidecarFixture.requestId(i),
                     SidecarFixture.accept(upstream).read().header("X-Txn"));
         }
         try (RawConnection last = fixture.client()
-                .send(SidecarFixture.getRequest(SidecarFixture.requestId(held + 1))
-                        + SidecarFixture.postRequest(SidecarFixture.requestId(held + 2), "x"))) {
+                .send(SidecarFixture.getRequest(SidecarFixture.requestId(heldConnections + 1))
+                        + SidecarFixture.postRequest(SidecarFixture.requestId(heldConnections + 2), "x"))) {
             Message refused = last.read();
             assertEquals(503, refused.status());
             assertNotNull(refused.header("Retry-After"));
             RawConnection up = SidecarFixture.accept(upstream);
-            assertEquals(SidecarFixture.requestId(held + 2), up.read().header("X-Txn"));
+            assertEquals(
+                    SidecarFixture.requestId(heldConnections + 2), up.read().header("X-Txn"));
             up.send(SidecarFixture.answer("200 OK", ""));
             assertEquals(200, last.read().status());
         }
     }
 
-    /** An unsafe request may have run once its last byte is sent: a lost connection is a failure, not a refusal or retry. */
+    /**
+     * An unsafe request may have run once its last byte is sent, so a lost connection is a failure: the request is
+     * neither refused nor retried.
+     */
     @Test
     void unsafeRequestThatMayHaveRunFails() throws Exception {
-        try (RawConnection client = startWithOne()) {
+        try (RawConnection client = startWithOneUpstream()) {
             client.send(SidecarFixture.postRequest(SidecarFixture.requestId(1), "x"));
             RawConnection up = SidecarFixture.accept(upstream);
             up.read();
@@ -176,7 +189,7 @@
 
     @Test
     void unsafeRequestOnAReusedConnectionFails() throws Exception {
-        try (RawConnection client = startWithOne()) {
+        try (RawConnection client = startWithOneUpstream()) {
             client.send(SidecarFixture.postRequest(SidecarFixture.requestId(1), "x"));
             RawConnection up = SidecarFixture.accept(upstream);
             up.read();
@@ -193,7 +206,7 @@
     /** A 503 alone does not prove that nothing ran: it may come from a server behind the upstream. */
     @Test
     void status503IsARefusalOnlyIfTheUpstreamReportsThatNothingRan() throws Exception {
-        try (RawConnection client = startWithOne()) {
+        try (RawConnection client = startWithOneUpstream()) {
             client.send(SidecarFixture.postRequest(SidecarFixture.requestId(1), "x"));
             RawConnection up = SidecarFixture.accept(upstream);
             up.read();
@@ -208,7 +221,7 @@
         }
     }
 
-    /** Rejects every attempt before it runs: the balancer may retry at will, and finally refuses the request. */
+    /** Rejects every attempt as not run, so that the balancer may retry it and finally refuses the request. */
     private void rejectAllAttempts() {
         Thread thread = new Thread(() -> {
             try {
@@ -232,7 +245,7 @@
                 true,
                 SidecarFixture.member("dead", fixture.unusedAddress(), "active"),
                 SidecarFixture.member("u1", SidecarFixture.address(upstream), "active")));
-        // Upstreams are drawn at random: a request that draws the dead one first must be retried on the other.
+        // Upstreams are chosen at random: a request sent to the unreachable one must be retried on the other.
         RawConnection up = null;
         for (int i = 0; i < 6; i++) {
             try (RawConnection client = fixture.client()) {
@@ -248,7 +261,7 @@
 
     @Test
     void malformedAnswerIsAFailedAttempt() throws Exception {
-        try (RawConnection client = startWithOne()) {
+        try (RawConnection client = startWithOneUpstream()) {
             client.send(SidecarFixture.postRequest(SidecarFixture.requestId(1), "x"));
             RawConnection up = SidecarFixture.accept(upstream);
             up.read();
@@ -260,7 +273,7 @@
 
     @Test
     void oversizedAnswerIsAFailedAttempt() throws Exception {
-        try (RawConnection client = startWithOne()) {
+        try (RawConnection client = startWithOneUpstream()) {
             client.send(SidecarFixture.postRequest(SidecarFixture.requestId(1), "x"));
             RawConnection up = SidecarFixture.accept(upstream);
             up.read();
@@ -272,7 +285,7 @@
     @Test
     void bodyOf64KiBIsTransferredBothWays() throws Exception {
         String body = "b".repeat(Upstreams.MAX_BODY_BYTES);
-        try (RawConnection client = startWithOne()) {
+        try (RawConnection client = startWithOneUpstream()) {
             client.send(SidecarFixture.postRequest(SidecarFixture.requestId(1), body));
             RawConnection up = SidecarFixture.accept(upstream);
             assertEquals(body, up.read().body());
@@ -284,7 +297,7 @@
     /** An answer shorter than its Content-Length is incomplete and does not count. */
     @Test
     void truncatedAnswerIsAFailedAttempt() throws Exception {
-        try (RawConnection client = startWithOne()) {
+        try (RawConnection client = startWithOneUpstream()) {
             client.send(SidecarFixture.postRequest(SidecarFixture.requestId(1), "x"));
             RawConnection up = SidecarFixture.accept(upstream);
             up.read();
@@ -295,7 +308,7 @@
 
     @Test
     void malformedRequestsAreAnsweredAndNeverForwarded() throws Exception {
-        startWithOne().close();
+        startWithOneUpstream().close();
         assertStatus(404, SidecarFixture.getRequest(SidecarFixture.requestId(1)).replace("window-read", "unheard-of"));
         assertStatus(
                 400,
@@ -315,14 +328,14 @@
         try (RawConnection client = fixture.client()) {
             client.send("what is this\r\n\r\n");
             assertEquals(400, client.read().status());
-            assertTrue(client.awaitClose(), "where the next request begins is not known");
+            assertTrue(client.awaitClose(), "the start of the next request is unknown");
         }
         try (RawConnection client = fixture.client()) {
             client.send(SidecarFixture.getRequest(SidecarFixture.requestId(7)));
             assertEquals(
                     SidecarFixture.requestId(7),
                     SidecarFixture.accept(upstream).read().header("X-Txn"),
-                    "the first that any upstream saw");
+                    "the first request that is forwarded");
         }
     }
 
@@ -334,18 +347,18 @@
 
     @Test
     void clientDisconnectCancelsItsAttempt() throws Exception {
-        RawConnection client = startWithOne();
+        RawConnection client = startWithOneUpstream();
         client.send(SidecarFixture.getRequest(SidecarFixture.requestId(1)));
         RawConnection up = SidecarFixture.accept(upstream);
         up.read();
         client.close();
-        assertTrue(up.awaitClose(), "giving up an attempt closes its connection");
+        assertTrue(up.awaitClose(), "cancelling an attempt closes its connection");
     }
 
     /** A hung upstream accepts but never answers: the client still gets one answer at its deadline. */
     @Test
     void requestToAHungUpstreamIsAnsweredAtItsDeadline() throws Exception {
-        try (RawConnection client = startWithOne()) {
+        try (RawConnection client = startWithOneUpstream()) {
             client.send(
                     SidecarFixture.postRequest(SidecarFixture.requestId(1), "x").replace("30000", "1500"));
             RawConnection up = SidecarFixture.accept(upstream);
@@ -357,7 +370,7 @@
 
     @Test
     void answersKeepTheOrderOfTheRequestsOnAConnection() throws Exception {
-        try (RawConnection client = startWithOne()) {
+        try (RawConnection client = startWithOneUpstream()) {
             client.send(SidecarFixture.getRequest(SidecarFixture.requestId(1))
                     + SidecarFixture.getRequest(SidecarFixture.requestId(2)).replace("window-read", "unheard-of"));
             RawConnection up = SidecarFixture.accept(upstream);
@@ -368,7 +381,7 @@
         }
     }
 
-    /** Beyond the descriptor limit an accept fails and its request is lost, so upstreams leave sockets for clients. */
+    /** Without free descriptors an accept fails and a request is lost, so upstreams leave sockets for clients. */
     @Test
     void upstreamConnectionsLeaveSocketsForClients() throws Exception {
         fixture.start(
@@ -382,7 +395,7 @@
             first.send(SidecarFixture.getRequest(SidecarFixture.requestId(3)));
             SidecarFixture.accept(upstream).read();
             second.send(SidecarFixture.getRequest(SidecarFixture.requestId(2)));
-            assertEquals(503, second.read().status(), "it could not connect, and is refused");
+            assertEquals(503, second.read().status(), "no upstream connection could be opened for it");
             up.send(SidecarFixture.answer("200 OK", "one"));
             assertEquals("one", first.read().body());
         }
@@ -391,7 +404,7 @@
     /** Shutdown as on SIGTERM: accepted requests are answered and new ones served before the sidecar stops. */
     @Test
     void stopAnswersAcceptedAndNewRequests() throws Exception {
-        try (RawConnection client = startWithOne()) {
+        try (RawConnection client = startWithOneUpstream()) {
             client.send(SidecarFixture.getRequest(SidecarFixture.requestId(1)));
             RawConnection up = SidecarFixture.accept(upstream);
             up.read();
@@ -410,10 +423,10 @@
                 second.send(SidecarFixture.answer("200 OK", "two"));
                 assertEquals("two", late.read().body());
             }
-            while (listening()) {
-                Thread.onSpinWait(); // it keeps accepting for a while; the test checks the state after that
+            while (isListening()) {
+                Thread.onSpinWait(); // the sidecar goes on accepting for a while after the start of its shutdown
             }
-            assertTrue(stop.isAlive(), "one request is still in hand");
+            assertTrue(stop.isAlive(), "one request is still open");
             up.send(SidecarFixture.answer("200 OK", "one"));
             assertEquals("one", client.read().body());
             stop.join(RawConnection.TIMEOUT_MS);
@@ -421,7 +434,7 @@
         }
     }
 
-    private boolean listening() {
+    private boolean isListening() {
         try {
             fixture.client().close();
             return true;
