--- a/sidecar/src/test/java/gradehub/node/DescriptorExhaustionTest.java
+++ b/sidecar/src/test/java/gradehub/node/DescriptorExhaustionTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** When descriptors run out, only the operations that could not open a socket fail. */
+/** When file descriptors run out, only the operations that can't open a socket fail. */
 class DescriptorExhaustionTest {
 
     private SidecarFixture fixture;
@@ -46,7 +46,7 @@
         RawConnection watch = fixture.acceptWatch();
         exhausted.set(true);
         watch.close();
-        fixture.awaitOnEventLoop(() -> fixture.sidecar().watchPauseMs() > 0); // the first attempt found no descriptor
+        fixture.awaitOnEventLoop(() -> fixture.sidecar().watchPauseMs() > 0); // the first attempt got no descriptor
         exhausted.set(false);
         SidecarFixture.accept(fixture.discovery).read();
         fixture.assertServed(1, upstream);
@@ -59,23 +59,23 @@
         exhausted.set(true);
         try (RawConnection client = fixture.client()) {
             client.send(SidecarFixture.postRequest(SidecarFixture.requestId(1), "x"));
-            assertEquals(503, client.read().status(), "it never ran: coming again is harmless");
+            assertEquals(503, client.read().status(), "the request has not run, so a retry is harmless");
         }
         exhausted.set(false);
         fixture.assertServed(2, upstream);
     }
 
-    /** Idle clients hold all their sockets; discovery and upstreams have a separate portion. */
+    /** Even when idle clients hold all client sockets, others remain for discovery and upstreams. */
     @Test
     void idleClientsTakeNoSocketFromDiscoveryOrUpstreams() throws Exception {
-        int room = 20;
-        fixture.start(list(), SocketBudget.RESERVED_DESCRIPTORS + room);
+        int availableDescriptors = 20;
+        fixture.start(list(), SocketBudget.RESERVED_DESCRIPTORS + availableDescriptors);
         RawConnection watch = fixture.acceptWatch();
         List<RawConnection> idleClients = new ArrayList<>();
-        for (int i = 0; i < room; i++) {
+        for (int i = 0; i < availableDescriptors; i++) {
             idleClients.add(fixture.client());
         }
-        fixture.awaitOnEventLoop(() -> fixture.sidecar().clients() >= room / 2);
+        fixture.awaitOnEventLoop(() -> fixture.sidecar().clients() >= availableDescriptors / 2);
         watch.close();
         SidecarFixture.accept(fixture.discovery).read();
         fixture.assertServed(1, upstream);
--- a/sidecar/src/test/java/gradehub/node/InvalidRequestTest.java
+++ b/sidecar/src/test/java/gradehub/node/InvalidRequestTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Clients that send invalid or incomplete requests, or nothing, get an error or a close; nothing reaches an upstream. */
+/** Clients that send an invalid or incomplete request, or nothing, get an error or a close; nothing is forwarded. */
 class InvalidRequestTest {
 
     private SidecarFixture fixture;
@@ -40,7 +40,7 @@
         "X-Txn: 00000000000000ff,400",
         "X-Lane: window-read,400",
         "X-Remaining-Ms: 5,400",
-        "Expect: a miracle,417"
+        "Expect: unsupported,417"
     })
     void ambiguousRequestIsNotForwarded(String header, int status) throws Exception {
         fixture.start(list);
@@ -80,11 +80,11 @@
             assertEquals(
                     SidecarFixture.requestId(7),
                     SidecarFixture.accept(upstream).read().header("X-Txn"),
-                    "the first that any upstream saw");
+                    "the first request that is forwarded");
         }
     }
 
-    /** With two answers for one identifier neither client could tell which is its own. */
+    /** If two open requests had the same identifier, their clients could not tell the answers apart. */
     @Test
     void identifierOfAnOpenRequestIsRejected() throws Exception {
         fixture.start(list);
@@ -136,22 +136,22 @@
     void incompleteRequestTimesOut() throws Exception {
         fixture.start(list);
         try (RawConnection silent = fixture.client();
-                RawConnection slow = fixture.client();
-                RawConnection half = fixture.client();
-                RawConnection endless = fixture.client()) {
-            slow.send("GET /window-read HTTP/1.1\r\nX-T");
-            half.send(
+                RawConnection incompleteHeaders = fixture.client();
+                RawConnection incompleteBody = fixture.client();
+                RawConnection oversizedHeaders = fixture.client()) {
+            incompleteHeaders.send("GET /window-read HTTP/1.1\r\nX-T");
+            incompleteBody.send(
                     SidecarFixture.postRequest(SidecarFixture.requestId(1), "x").replace("Length: 1", "Length: 5"));
-            endless.send("GET /window-read HTTP/1.1\r\n" + "X-Pad: pppppppp\r\n".repeat(1000));
-            assertEquals(431, endless.read().status());
+            oversizedHeaders.send("GET /window-read HTTP/1.1\r\n" + "X-Pad: pppppppp\r\n".repeat(1000));
+            assertEquals(431, oversizedHeaders.read().status());
             assertTrue(silent.awaitClose());
-            assertEquals(408, slow.read().status());
-            assertEquals(408, half.read().status());
-            assertTrue(half.awaitClose());
+            assertEquals(408, incompleteHeaders.read().status());
+            assertEquals(408, incompleteBody.read().status());
+            assertTrue(incompleteBody.awaitClose());
         }
     }
 
-    /** Hundreds of pipelined requests would be held in memory until each is processed. */
+    /** Without a limit, hundreds of pipelined requests would be held in memory until each is processed. */
     @Test
     void tooManyPipelinedRequestsAreRejected() throws Exception {
         fixture.start(list);
@@ -168,7 +168,7 @@
         }
     }
 
-    /** Answering all of them would keep the event loop from serving other clients. */
+    /** Answering each of many rejected requests would keep the event loop from serving other clients. */
     @ParameterizedTest
     @CsvSource({"unheard-of,404", "window-read,405"})
     void repeatedRejectedRequestsGetOneAnswer(String path, int status) throws Exception {
--- a/sidecar/src/test/java/gradehub/node/LateReadTest.java
+++ b/sidecar/src/test/java/gradehub/node/LateReadTest.java
@@ -16,8 +16,8 @@
 
     private static final String READY = "GET /ready HTTP/1.1\r\n\r\n";
     private static final int STALL_MS = 1700;
-    private static final int SHORT_MS = 1500; // expires during the stall; would be forwarded if the wait did not count
-    private static final int LONG_MS = 10_000; // below the latency goal of the class, which is also a bound
+    private static final int SHORT_MS = 1500; // expires during the stall; forwarded if the wait does not count
+    private static final int LONG_MS = 10_000; // below the aim of the class, which also limits the remaining time
 
     private SidecarFixture fixture;
     private ServerSocket upstream;
@@ -47,7 +47,7 @@
         }
     }
 
-    /** The first request at the upstream is one sent after the expired ones. */
+    /** Checks that the first request to reach the upstream is one sent after the expired ones. */
     private void assertNoneIsForwarded() throws Exception {
         try (RawConnection later = fixture.client()) {
             later.send(request(99, LONG_MS));
@@ -70,7 +70,7 @@
         assertNoneIsForwarded();
     }
 
-    /** The periodic task runs after the stalled one, before the sockets are read. */
+    /** The periodic check of client connections runs after the stalled task, before the sockets are read. */
     @Test
     void lagIsKeptUntilTheSocketsHaveBeenRead() throws Throwable {
         try (RawConnection client = fixture.client()) {
@@ -111,7 +111,7 @@
             });
             int receivedMs =
                     Integer.parseInt(SidecarFixture.accept(upstream).read().header("X-Remaining-Ms"));
-            assertTrue(receivedMs <= LONG_MS - SHORT_MS, "told " + receivedMs + " ms");
+            assertTrue(receivedMs <= LONG_MS - SHORT_MS, "X-Remaining-Ms is " + receivedMs);
         }
     }
 
@@ -124,7 +124,7 @@
             client.send(request(1, LONG_MS));
             int receivedMs =
                     Integer.parseInt(SidecarFixture.accept(upstream).read().header("X-Remaining-Ms"));
-            assertTrue(receivedMs > LONG_MS - SHORT_MS, "told " + receivedMs + " ms");
+            assertTrue(receivedMs > LONG_MS - SHORT_MS, "X-Remaining-Ms is " + receivedMs);
         }
     }
 }
