--- a/scale/src/main/java/gradehub/scale/MemoryLimit.java
+++ b/scale/src/main/java/gradehub/scale/MemoryLimit.java
@@ -6,8 +6,8 @@
 import java.nio.file.Path;
 
 /**
- * Rejects experiments that would need more memory than allowed, which is half of the machine's memory or the maximum heap
- * size of this process, whichever is less.
+ * Rejects experiments that would need more memory than allowed, which is half of the machine's memory or the maximum
+ * heap size of this process, whichever is less.
  *
  * @param bytes allowed memory
  */
--- a/scale/src/main/java/gradehub/scale/experiment/FieldReader.java
+++ b/scale/src/main/java/gradehub/scale/experiment/FieldReader.java
@@ -12,8 +12,8 @@
 import java.util.Set;
 
 /**
- * Reads the fields of one object and checks their types and ranges. {@link #rejectUnknownFields} rejects the fields that
- * no method has read.
+ * Reads the fields of one object and checks their types and ranges. {@link #rejectUnknownFields} rejects the fields
+ * that no method has read.
  */
 final class FieldReader {
 
--- a/scale/src/test/java/gradehub/scale/MainTest.java
+++ b/scale/src/test/java/gradehub/scale/MainTest.java
@@ -54,7 +54,7 @@
     }
 
     @Test
-    void unreadableFileExitsWithOne() {
+    void missingFileExitsWithOne() {
         assertEquals(1, execute("check", directory.resolve("missing.yaml").toString()));
     }
 
@@ -96,7 +96,7 @@
     }
 
     @Test
-    void slopesReadsSummaryWrittenByModel() throws IOException {
+    void modelWritesResultFilesAndSlopesReadsSummary() throws IOException {
         Path file = writeExperiment(TestExperiments.smallYaml().replace("measuredSeconds: 5", "measuredSeconds: 1"));
         Path out = directory.resolve("out");
         String[] run = {"model", file.toString(), "--out", out.toString(), "--sizes", "30,60", "--seeds", "1,2"};
