--- a/scale/src/main/java/gradehub/scale/model/Figures.java
+++ b/scale/src/main/java/gradehub/scale/model/Figures.java
@@ -9,10 +9,10 @@
 import java.util.function.ToLongFunction;
 import org.HdrHistogram.Histogram;
 
-/** Turns what was counted into named figures. */
+/** Computes the named figures of a run, and its rows, from the measurements. */
 final class Figures {
 
-    private static final double MICROS = 1e6;
+    private static final double MICROS_PER_SECOND = 1e6;
 
     private final SimulationContext context;
     private final Measurements measurements;
@@ -22,19 +22,19 @@
     private Figures(SimulationContext context) {
         this.context = context;
         this.measurements = context.measurements;
-        double passed = context.queue.nowMicros() / MICROS - context.experiment.warmupSeconds();
-        this.seconds = Math.max(1 / MICROS, passed);
+        double measuredSeconds = context.queue.nowMicros() / MICROS_PER_SECOND - context.experiment.warmupSeconds();
+        this.seconds = Math.max(1 / MICROS_PER_SECOND, measuredSeconds);
     }
 
     static RunResult compute(SimulationContext context, boolean complete) {
         Figures figures = new Figures(context);
-        figures.calls();
-        figures.attempts();
-        figures.distances();
-        figures.spreads();
-        figures.zones();
-        figures.listService();
-        figures.cold();
+        figures.addCalls();
+        figures.addAttempts();
+        figures.addDistances();
+        figures.addSpreads();
+        figures.addZoneLoads();
+        figures.addListService();
+        figures.addColdLoad();
         return new RunResult(
                 context.experiment.name(),
                 context.topology.machines.size(),
@@ -49,7 +49,7 @@
         figures.add(new RunResult.Figure(name, value, unit));
     }
 
-    private void calls() {
+    private void addCalls() {
         add("measured-time", seconds, "s");
         add("services", context.topology.services.size(), "1");
         add("calls", sum(measurements.callsByLayer) / seconds, "1/s");
@@ -70,7 +70,7 @@
         add("sidecar-answers-unsent", ratio(measurements.answersWithoutAttempt, sum(measurements.answers)), "1");
     }
 
-    private void attempts() {
+    private void addAttempts() {
         int hops = measurements.attemptsArrivedByLayer.length - 1;
         double callsPerRequest = context.experiment.calls().callsPerRequest();
         add("attempts", sum(measurements.attemptsSentByLayer) / seconds, "1/s");
@@ -78,7 +78,7 @@
         double plannedLeaves = measurements.rootOffered * Math.pow(callsPerRequest, hops);
         add("leaf-attempts-per-planned", measurements.attemptsArrivedByLayer[hops] / Math.max(1, plannedLeaves), "1");
         double plannedPerSecond = plannedLeaves / seconds;
-        add("leaf-attempts-most-in-a-second", ratio(most(row -> row.leafAttempts), plannedPerSecond), "1");
+        add("leaf-attempts-most-in-a-second", ratio(maxPerSecond(row -> row.leafAttempts), plannedPerSecond), "1");
         for (int layer = 1; layer <= hops; layer++) {
             double planned = measurements.rootOffered * Math.pow(callsPerRequest, layer);
             add(
@@ -93,7 +93,7 @@
         add("module-log-lines", measurements.moduleLogLines, "1");
     }
 
-    private void distances() {
+    private void addDistances() {
         for (Network.Distance distance : Network.Distance.values()) {
             String name = distance.name().toLowerCase(Locale.ROOT).replace('_', '-');
             add(
@@ -105,75 +105,75 @@
         }
     }
 
-    /** By the size of services: up to ten upstreams each sidecar's subset holds all of them, beyond that a part. */
-    private void spreads() {
-        int[] largest = {5, 10, Integer.MAX_VALUE};
-        String[] names = {"up-to-5", "6-to-10", "over-10"};
-        int smallest = 1;
-        for (int i = 0; i < largest.length; i++) {
-            DoubleSummaryStatistics ofSize = new DoubleSummaryStatistics();
+    /** Groups services by size, as a sidecar's subset holds all of up to ten upstreams but only a part of more. */
+    private void addSpreads() {
+        int[] maxSizes = {5, 10, Integer.MAX_VALUE};
+        String[] sizeRanges = {"up-to-5", "6-to-10", "over-10"};
+        int minSize = 1;
+        for (int i = 0; i < maxSizes.length; i++) {
+            DoubleSummaryStatistics spreads = new DoubleSummaryStatistics();
             for (Topology.Service service : context.topology.services) {
                 int size = service.machines().size();
-                if (service.layer() > 0 && size >= smallest && size <= largest[i]) {
-                    ofSize.accept(spread(service));
+                if (service.layer() > 0 && size >= minSize && size <= maxSizes[i]) {
+                    spreads.accept(spread(service));
                 }
             }
-            add("spread-mean-" + names[i], ofSize.getAverage(), "1");
-            add("spread-most-" + names[i], Math.max(0, ofSize.getMax()), "1");
-            smallest = largest[i] + 1;
+            add("spread-mean-" + sizeRanges[i], spreads.getAverage(), "1");
+            add("spread-most-" + sizeRanges[i], Math.max(0, spreads.getMax()), "1");
+            minSize = maxSizes[i] + 1;
         }
     }
 
-    /** What an upstream of a zone is sent over what one of the same service is sent in the mean. */
-    private void zones() {
-        double[] loads = new double[context.topology.zones.size()];
-        int[] machines = new int[loads.length];
+    /** The mean load of a zone's upstreams, each relative to the mean of all upstreams of its service. */
+    private void addZoneLoads() {
+        double[] relativeLoads = new double[context.topology.zones.size()];
+        int[] machines = new int[relativeLoads.length];
         for (Topology.Service service : context.topology.services) {
-            double mean = arrived(service) / service.machines().size();
+            double mean = attemptsArrived(service) / service.machines().size();
             if (service.layer() > 0 && mean > 0) {
                 for (Topology.Machine machine : service.machines()) {
-                    loads[machine.zone()] += measurements.attemptsArrivedByMachine[machine.number()] / mean;
+                    relativeLoads[machine.zone()] += measurements.attemptsArrivedByMachine[machine.number()] / mean;
                     machines[machine.zone()]++;
                 }
             }
         }
         for (Topology.Zone zone : context.topology.zones) {
-            add("zone-load-" + zone.name(), ratio(loads[zone.number()], machines[zone.number()]), "1");
+            add("zone-load-" + zone.name(), ratio(relativeLoads[zone.number()], machines[zone.number()]), "1");
         }
     }
 
-    private void listService() {
+    private void addListService() {
         int sidecars = context.sidecars.size();
         add("list-calls", measurements.listCalls / seconds, "1/s");
         add("list-calls-failed", measurements.listCallsFailed / seconds, "1/s");
-        add("list-calls-most-in-a-second", most(row -> row.listCalls), "1/s");
+        add("list-calls-most-in-a-second", maxPerSecond(row -> row.listCalls), "1/s");
         add("list-bytes-in", measurements.listBytesIn / seconds, "B/s");
         add("list-bytes-out", measurements.listBytesOut / seconds, "B/s");
-        add("list-bytes-out-most-in-a-second", most(row -> row.listBytesOut), "B/s");
+        add("list-bytes-out-most-in-a-second", maxPerSecond(row -> row.listBytesOut), "B/s");
         add(
                 "list-bytes-per-sidecar",
                 (measurements.listBytesIn + measurements.listBytesOut) / seconds / sidecars,
                 "B/s");
         add("list-changes", measurements.listChanges / seconds, "1/s");
         add("list-whole-lists", measurements.listWholeLists / seconds, "1/s");
-        add("list-busy-part", measurements.listBusyMicros / MICROS / seconds, "1");
+        add("list-busy-part", measurements.listBusyMicros / MICROS_PER_SECOND / seconds, "1");
         add("list-longest-backlog", measurements.listLongestBacklogMicros / 1000.0, "ms");
-        delays("told", measurements.changeDelays);
-        delays("restored", measurements.restoreDelays);
-        delays("configured", measurements.moveDelays);
-        long current = context.sidecars.stream()
+        addDelays("told", measurements.changeDelays);
+        addDelays("restored", measurements.restoreDelays);
+        addDelays("configured", measurements.moveDelays);
+        long activeWatches = context.sidecars.stream()
                 .filter(sidecar -> sidecar.isRunning() && sidecar.listClient().hasActiveWatch())
                 .count();
-        add("sidecars-with-watch-at-end", current, "1");
+        add("sidecars-with-watch-at-end", activeWatches, "1");
     }
 
-    private void delays(String name, Histogram histogram) {
+    private void addDelays(String name, Histogram histogram) {
         add(name + "-count", histogram.getTotalCount(), "1");
         add(name + "-p50", histogram.getValueAtPercentile(50) / 1000.0, "ms");
         add(name + "-last", histogram.getMaxValue() / 1000.0, "ms");
     }
 
-    private void cold() {
+    private void addColdLoad() {
         add("cold-load-most", measurements.maxColdLoad, "1");
         add("cold-attempts", measurements.coldAttempts, "1");
         add("cold-falls", measurements.coldFailures, "1");
@@ -193,8 +193,8 @@
                     row.listCallsFailed,
                     row.listBytesIn,
                     row.listBytesOut,
-                    row.restored,
-                    row.configured));
+                    row.watchesRestored,
+                    row.listServiceMoves));
         }
         return rows;
     }
@@ -204,7 +204,7 @@
         for (Topology.Service service : context.topology.services) {
             if (service.layer() > 0) {
                 int upstreams = service.machines().size();
-                double perUpstream = arrived(service) / seconds / upstreams;
+                double perUpstream = attemptsArrived(service) / seconds / upstreams;
                 rows.add(new RunResult.ServiceLoad(
                         service.number(),
                         service.layer(),
@@ -217,7 +217,7 @@
         return rows;
     }
 
-    private double arrived(Topology.Service service) {
+    private double attemptsArrived(Topology.Service service) {
         double sum = 0;
         for (Topology.Machine machine : service.machines()) {
             sum += measurements.attemptsArrivedByMachine[machine.number()];
@@ -225,22 +225,23 @@
         return sum;
     }
 
-    /** The load of a service's busiest upstream over the mean of its upstreams. */
+    /** The load of a service's busiest upstream divided by the mean load of its upstreams. */
     private double spread(Topology.Service service) {
-        double most = 0;
+        double max = 0;
         for (Topology.Machine machine : service.machines()) {
-            most = Math.max(most, measurements.attemptsArrivedByMachine[machine.number()]);
+            max = Math.max(max, measurements.attemptsArrivedByMachine[machine.number()]);
         }
-        double mean = arrived(service) / service.machines().size();
-        return mean == 0 ? 0 : most / mean;
+        double mean = attemptsArrived(service) / service.machines().size();
+        return mean == 0 ? 0 : max / mean;
     }
 
-    private double most(ToLongFunction<Measurements.SecondRow> figure) {
-        long most = 0;
+    /** The highest count of a second since the end of the warm-up. */
+    private double maxPerSecond(ToLongFunction<Measurements.SecondRow> count) {
+        long max = 0;
         for (int i = (int) context.experiment.warmupSeconds(); i < measurements.seconds.length; i++) {
-            most = Math.max(most, figure.applyAsLong(measurements.seconds[i]));
+            max = Math.max(max, count.applyAsLong(measurements.seconds[i]));
         }
-        return most;
+        return max;
     }
 
     private static double ratio(double part, double whole) {
--- a/scale/src/main/java/gradehub/scale/model/Measurements.java
+++ b/scale/src/main/java/gradehub/scale/model/Measurements.java
@@ -4,10 +4,13 @@
 import gradehub.scale.experiment.Experiment;
 import org.HdrHistogram.Histogram;
 
-/** What is counted during a run. Figures count from the end of the warm-up; rows of seconds cover the whole run. */
+/**
+ * Counters and histograms of a run. They start at the end of the warm-up unless noted otherwise; the rows of seconds
+ * cover the whole run.
+ */
 final class Measurements {
 
-    private static final int DIGITS = 3;
+    private static final int SIGNIFICANT_DIGITS = 3;
 
     private final long warmupEndMicros;
     private final int[] layerOfMachine;
@@ -24,12 +27,17 @@
     long rootServed;
     long rootFailed;
     long retries;
+    /** Calls of the whole run, those of the warm-up included. */
     long totalCalls;
+
+    /** Answers of sidecars after the deadline of the request. */
     long lateAnswers;
-    /** Requests that sidecars have answered without an attempt. */
+    /** Requests that a sidecar answered without sending an attempt. */
     long answersWithoutAttempt;
 
+    /** Log lines of the balancing modules in the whole run. */
     long moduleLogLines;
+
     long listCalls;
     long listCallsFailed;
     long listBytesIn;
@@ -38,15 +46,19 @@
     long listChanges;
     long listBusyMicros;
     long listLongestBacklogMicros;
+    /** Attempts that reached a cold upstream in the whole run. */
     long coldAttempts;
+    /** Cold upstreams that failed under overload in the whole run. */
     long coldFailures;
+    /** Highest load of a cold upstream in the whole run, relative to the most that it can take. */
     double maxColdLoad;
-    final Histogram rootLatency = new Histogram(DIGITS);
-    final Histogram changeDelays = new Histogram(DIGITS);
-    final Histogram restoreDelays = new Histogram(DIGITS);
-    final Histogram moveDelays = new Histogram(DIGITS);
 
-    /** What one simulated second has seen. */
+    final Histogram rootLatency = new Histogram(SIGNIFICANT_DIGITS);
+    final Histogram changeDelays = new Histogram(SIGNIFICANT_DIGITS);
+    final Histogram restoreDelays = new Histogram(SIGNIFICANT_DIGITS);
+    final Histogram moveDelays = new Histogram(SIGNIFICANT_DIGITS);
+
+    /** Counts of one simulated second. */
     static final class SecondRow {
         long rootOffered;
         long rootServed;
@@ -56,8 +68,8 @@
         long listCallsFailed;
         long listBytesIn;
         long listBytesOut;
-        long restored;
-        long configured;
+        long watchesRestored;
+        long listServiceMoves;
     }
 
     Measurements(Experiment experiment, Topology topology) {
@@ -80,17 +92,22 @@
         return nowMicros >= warmupEndMicros;
     }
 
+    /** Returns the row of this time; times after the end of the run go to an additional last row. */
     private SecondRow second(long nowMicros) {
         return seconds[(int) Math.min(seconds.length - 1, nowMicros / SimulationContext.MICROS_PER_SECOND)];
     }
 
-    // ---- Calls.
+    // Calls and attempts.
 
     void rootCallStarted(long nowMicros) {
         second(nowMicros).rootOffered++;
         rootOffered += isAfterWarmup(nowMicros) ? 1 : 0;
     }
 
+    /**
+     * A root call has ended. It counts only if its intended start, from which its latency is measured, lies after the
+     * warm-up.
+     */
     void rootCallEnded(long nowMicros, long intendedMicros, boolean served) {
         second(nowMicros).rootServed += served ? 1 : 0;
         if (!isAfterWarmup(intendedMicros)) {
@@ -103,13 +120,13 @@
         }
     }
 
-    /** An application calls the next layer. */
+    /** An application on this machine calls the next layer. */
     void callStarted(long nowMicros, Topology.Machine from) {
         totalCalls++;
         callsByLayer[layerOfMachine[from.number()] + 1] += isAfterWarmup(nowMicros) ? 1 : 0;
     }
 
-    /** A client makes a further try. */
+    /** An application repeats a call through its sidecar. */
     void callRetried(long nowMicros) {
         retries += isAfterWarmup(nowMicros) ? 1 : 0;
     }
@@ -135,7 +152,12 @@
         outcomes[outcome.ordinal()] += isAfterWarmup(nowMicros) ? 1 : 0;
     }
 
-    /** A sidecar has answered, this long after the deadline; {@code sent} tells whether it has made an attempt. */
+    /**
+     * A sidecar has answered a request.
+     *
+     * @param lateMicros time since the deadline, negative for an answer before it
+     * @param sent whether the sidecar sent an attempt for the request
+     */
     void requestAnswered(long nowMicros, long lateMicros, ApplicationCall.Answer answer, boolean sent) {
         if (isAfterWarmup(nowMicros)) {
             lateAnswers += lateMicros > 0 ? 1 : 0;
@@ -148,7 +170,7 @@
         moduleLogLines++;
     }
 
-    /** An attempt has reached a cold upstream, which now bears this load against what it can take. */
+    /** An attempt has reached a cold upstream; above a load of 1 the upstream fails. */
     void coldAttemptArrived(double load) {
         coldAttempts++;
         maxColdLoad = Math.max(maxColdLoad, load);
@@ -158,7 +180,7 @@
         coldFailures++;
     }
 
-    // ---- The list service.
+    // List service.
 
     void listCallReceived(long nowMicros, int bytes) {
         SecondRow second = second(nowMicros);
@@ -175,10 +197,10 @@
         listBytesOut += isAfterWarmup(nowMicros) ? bytes : 0;
     }
 
-    void listMessageWritten(long nowMicros, int bytes, boolean whole) {
+    void listMessageWritten(long nowMicros, int bytes, boolean fullList) {
         second(nowMicros).listBytesOut += bytes;
         listBytesOut += isAfterWarmup(nowMicros) ? bytes : 0;
-        listWholeLists += isAfterWarmup(nowMicros) && whole ? 1 : 0;
+        listWholeLists += isAfterWarmup(nowMicros) && fullList ? 1 : 0;
     }
 
     void listKeepAliveWritten(long nowMicros, int bytes) {
@@ -193,29 +215,28 @@
         }
     }
 
-    /** An entry of the list changes. */
     void listEntryChanged(long nowMicros) {
         listChanges += isAfterWarmup(nowMicros) ? 1 : 0;
     }
 
-    /** A sidecar is told of a change, this long after it was there and could be asked for. */
+    /** A sidecar has received a list change; the delay starts when it is made and the list service is reachable. */
     void listChangeReceived(long nowMicros, long delayMicros) {
         if (isAfterWarmup(nowMicros)) {
             changeDelays.recordValue(delayMicros);
         }
     }
 
-    /** A sidecar that had lost its watch has one again, this long after the list service could be reached. */
+    /** A sidecar that had lost its watch has one again; the delay starts when the list service is reachable. */
     void watchRestored(long nowMicros, long delayMicros) {
-        second(nowMicros).restored++;
+        second(nowMicros).watchesRestored++;
         if (isAfterWarmup(nowMicros)) {
             restoreDelays.recordValue(delayMicros);
         }
     }
 
-    /** A sidecar has the list of another list service, this long after it was told to use that. */
+    /** A sidecar has the list of a newly configured list service; the delay starts when the sidecar is configured. */
     void listServiceMoved(long nowMicros, long delayMicros) {
-        second(nowMicros).configured++;
+        second(nowMicros).listServiceMoves++;
         if (isAfterWarmup(nowMicros)) {
             moveDelays.recordValue(delayMicros);
         }
--- a/scale/src/main/java/gradehub/scale/model/Topology.java
+++ b/scale/src/main/java/gradehub/scale/model/Topology.java
@@ -87,8 +87,8 @@
     }
 
     /**
-     * Gives each service its minimum size and assigns every further machine to a service drawn by log-normal weights, which
-     * leaves most services small.
+     * Gives each service its minimum size and assigns every further machine to a service drawn by log-normal weights,
+     * which leaves most services small.
      */
     private int[] drawSizes() {
         int[] sizes = new int[fleet.services()];
