--- a/scale/src/test/java/gradehub/scale/model/SimulationTest.java
+++ b/scale/src/test/java/gradehub/scale/model/SimulationTest.java
@@ -20,7 +20,7 @@
 import net.jqwik.api.ShrinkingMode;
 import org.junit.jupiter.api.Test;
 
-/** Whole runs: they repeat, they can be ended, and whatever happens each call is answered in time. */
+/** Whole runs: they are reproducible, can be stopped, and answer each call by its deadline under any faults. */
 class SimulationTest {
 
     private static final Fault[] ALL_FAULTS = {
@@ -43,7 +43,7 @@
     }
 
     @Test
-    void theSameSeedGivesTheSameDigestAndAnotherSeedAnother() {
+    void runsWithTheSameSeedHaveTheSameDigestAndOtherSeedsAnotherOne() {
         String digest = run(withAllFaults()).digest();
         assertTrue(digest.matches("[0-9a-f]{64}"));
         assertEquals(digest, run(withAllFaults()).digest());
@@ -51,13 +51,13 @@
     }
 
     @Test
-    void aRunThatIsEndedKeepsWhatWasMeasured() {
-        List<Double> told = new ArrayList<>();
+    void aStoppedRunReturnsItsMeasurements() {
+        List<Double> reportedSeconds = new ArrayList<>();
         RunResult result = new Simulation(TestExperiments.small()).run((seconds, calls) -> {
-            told.add(seconds);
+            reportedSeconds.add(seconds);
             return seconds < 5;
         });
-        assertEquals(List.of(1.0, 2.0, 3.0, 4.0, 5.0), told);
+        assertEquals(List.of(1.0, 2.0, 3.0, 4.0, 5.0), reportedSeconds);
         assertFalse(result.complete());
         assertEquals(2, result.figure("measured-time"), 1e-9);
         assertTrue(result.figure("root-calls") > 300);
@@ -65,7 +65,7 @@
     }
 
     @Test
-    void theFleetHasItsSizesAndEachServiceHasACaller() {
+    void servicesHaveTheConfiguredSizesAndEachServiceBelowLayerZeroHasACaller() {
         Experiment experiment = TestExperiments.small().scaledTo(750);
         Topology topology = new SimulationContext(experiment).topology;
         assertEquals(750, topology.machines.size());
@@ -75,51 +75,55 @@
             assertEquals(service.layer() > 0, service.callerCount() > 0);
             assertEquals(service.layer() < 7, !service.callees().isEmpty());
         }
-        double leaves = topology.servicesInLayer(7).stream()
+        double leafRate = topology.servicesInLayer(7).stream()
                 .mapToDouble(Topology.Service::plannedRate)
                 .sum();
-        assertEquals(experiment.calls().rootCallsPerSecond(), leaves, 1e-6);
+        assertEquals(experiment.calls().rootCallsPerSecond(), leafRate, 1e-6);
     }
 
     @Provide
     Arbitrary<List<Fault>> faults() {
         Arbitrary<Double> starts = Arbitraries.doubles().between(0, 6);
-        Arbitrary<Double> lengths = Arbitraries.doubles().between(0, 4);
+        Arbitrary<Double> durations = Arbitraries.doubles().between(0, 4);
         Arbitrary<Integer> kinds = Arbitraries.integers().between(0, ALL_FAULTS.length - 1);
-        return Combinators.combine(starts, lengths, kinds)
+        return Combinators.combine(starts, durations, kinds)
                 .as(SimulationTest::fault)
                 .list()
                 .ofMaxSize(5);
     }
 
-    private static Fault fault(double at, double lasting, int kind) {
+    private static Fault fault(double atSeconds, double forSeconds, int kind) {
         return switch (kind) {
-            case 0 -> new Fault.UpstreamsFail(at, lasting, 1 + (int) at, 0.7, 0.5);
-            case 1 -> new Fault.UpstreamsSlow(at, lasting, 1 + (int) at, 0.7, 30);
-            case 2 -> new Fault.MachinesLost(at, lasting, 10);
-            case 3 -> new Fault.Restarts(at, lasting, 12, lasting / 4);
-            case 4 -> new Fault.ZoneLost(at, lasting, "north-1");
-            case 5 -> new Fault.RegionPartitioned(at, lasting, "north");
-            case 6 -> new Fault.ListServiceDown(at, lasting);
-            default -> new Fault.ConfigurationChange(at, lasting);
+            case 0 -> new Fault.UpstreamsFail(atSeconds, forSeconds, 1 + (int) atSeconds, 0.7, 0.5);
+            case 1 -> new Fault.UpstreamsSlow(atSeconds, forSeconds, 1 + (int) atSeconds, 0.7, 30);
+            case 2 -> new Fault.MachinesLost(atSeconds, forSeconds, 10);
+            case 3 -> new Fault.Restarts(atSeconds, forSeconds, 12, forSeconds / 4);
+            case 4 -> new Fault.ZoneLost(atSeconds, forSeconds, "north-1");
+            case 5 -> new Fault.RegionPartitioned(atSeconds, forSeconds, "north");
+            case 6 -> new Fault.ListServiceDown(atSeconds, forSeconds);
+            default -> new Fault.ConfigurationChange(atSeconds, forSeconds);
         };
     }
 
-    /** The sidecars' rules under faults at random times: no answer after the deadline, no call without its end. */
+    /** Random faults at random times: no sidecar answers after the deadline, and no root call is left without an end. */
     @Property(tries = 25, seed = "20", shrinking = ShrinkingMode.OFF)
-    void whateverHappensEachCallIsAnsweredInTime(@ForAll("faults") List<Fault> faults, @ForAll long seed) {
+    void eachCallIsAnsweredByItsDeadlineUnderRandomFaults(@ForAll("faults") List<Fault> faults, @ForAll long seed) {
         Experiment small = TestExperiments.withRate(TestExperiments.small(), 150);
         Experiment experiment = TestExperiments.withFaults(small, 0, 8, faults.toArray(new Fault[0]))
                 .withSeed(seed);
         SimulationContext context = new SimulationContext(experiment);
         new Simulation(context).run((seconds, calls) -> true);
-        Measurements counted = context.measurements;
-        assertEquals(0, counted.lateAnswers);
+        Measurements measurements = context.measurements;
+        assertEquals(0, measurements.lateAnswers);
         long restarts = context.sidecars.stream()
                 .mapToInt(SimulatedSidecar::incarnation)
                 .sum();
-        long outAtTheEnd = counted.rootOffered - counted.rootServed - counted.rootFailed;
-        double mostOut = 150 * 2.1 + restarts * 30;
-        assertTrue(outAtTheEnd >= 0 && outAtTheEnd <= mostOut, outAtTheEnd + " of " + counted.rootOffered);
+        long pendingAtEnd = measurements.rootOffered - measurements.rootServed - measurements.rootFailed;
+        // Pending are the root calls of the last 2.1 s (their deadline is 2 s), and at most 30 per ended sidecar
+        // process.
+        double maxPending = 150 * 2.1 + restarts * 30;
+        assertTrue(
+                pendingAtEnd >= 0 && pendingAtEnd <= maxPending,
+                pendingAtEnd + " of " + measurements.rootOffered + " root calls are pending");
     }
 }
