--- a/scale/src/main/java/gradehub/scale/model/ListJson.java
+++ b/scale/src/main/java/gradehub/scale/model/ListJson.java
@@ -26,8 +26,8 @@
     /** A full list or a delta as the protocol defines it. */
     record Message(int revision, boolean complete, List<Member> members) {}
 
-    /** Length of an empty line in a chunk of its own. */
-    static final int EMPTY_LINE_BYTES = chunkBytes(1);
+    /** Length of the empty line that keeps a watch alive, in a chunk of its own. */
+    static final int KEEP_ALIVE_BYTES = chunkBytes(1);
 
     /** Length of the answer to a call that fails. */
     static final int FAILURE_BYTES = byteLength("HTTP/1.1 503 Service Unavailable\r\ncontent-length: 0\r\n\r\n");
--- a/scale/src/main/java/gradehub/scale/model/ListService.java
+++ b/scale/src/main/java/gradehub/scale/model/ListService.java
@@ -15,7 +15,7 @@
  */
 final class ListService {
 
-    private static final long EMPTY_LINE_INTERVAL_MICROS = 2 * SimulationContext.MICROS_PER_SECOND;
+    private static final long KEEP_ALIVE_INTERVAL_MICROS = 2 * SimulationContext.MICROS_PER_SECOND;
     /** Time after which a half-open connection, whose peer has become unreachable, is closed. */
     private static final long HALF_OPEN_TIMEOUT_MICROS = 15 * SimulationContext.MICROS_PER_SECOND;
 
@@ -181,7 +181,7 @@
         }
         watch.answered = true;
         writeUpdate(nowMicros, watch, buildAnswer(watch), ListJson.headBytes());
-        scheduleUnlessOutage(nowMicros + EMPTY_LINE_INTERVAL_MICROS, now -> writeEmptyLine(now, watch));
+        scheduleUnlessOutage(nowMicros + KEEP_ALIVE_INTERVAL_MICROS, now -> writeKeepAlive(now, watch));
     }
 
     private void failCall(long nowMicros, Watch watch) {
@@ -197,11 +197,11 @@
         deliver(nowMicros, watch, update);
     }
 
-    private void writeEmptyLine(long nowMicros, Watch watch) {
+    private void writeKeepAlive(long nowMicros, Watch watch) {
         if (watches.contains(watch)) {
-            context.measurements.listKeepAliveWritten(nowMicros, ListJson.EMPTY_LINE_BYTES);
+            context.measurements.listKeepAliveWritten(nowMicros, ListJson.KEEP_ALIVE_BYTES);
             deliver(nowMicros, watch, null);
-            scheduleUnlessOutage(nowMicros + EMPTY_LINE_INTERVAL_MICROS, now -> writeEmptyLine(now, watch));
+            scheduleUnlessOutage(nowMicros + KEEP_ALIVE_INTERVAL_MICROS, now -> writeKeepAlive(now, watch));
         }
     }
 
--- a/scale/src/test/java/gradehub/scale/model/ListJsonTest.java
+++ b/scale/src/test/java/gradehub/scale/model/ListJsonTest.java
@@ -12,7 +12,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The lengths of messages against messages that were made. */
+/** Compares encoded entries with the protocol's example, and computed lengths with those of encoded messages. */
 class ListJsonTest {
 
     private static final ObjectMapper JSON = new ObjectMapper();
@@ -24,22 +24,22 @@
     }
 
     @Test
-    void anEntryHasTheFormOfTheProtocol() throws IOException {
+    void anEntryMatchesTheProtocolsExample() throws IOException {
         JsonNode example = JSON.readTree(PROTOCOL_EXAMPLE);
-        byte[] made = ListJson.encodeMember(new Topology.Machine(18, 3, 1, 0), "a", ListEntry.Phase.ACTIVE, -1);
-        ObjectNode entry = (ObjectNode) JSON.readTree(made);
-        List<String> names = new ArrayList<>();
-        entry.fieldNames().forEachRemaining(names::add);
-        List<String> exampleNames = new ArrayList<>();
-        example.fieldNames().forEachRemaining(exampleNames::add);
-        assertEquals(exampleNames, names);
+        byte[] encoded = ListJson.encodeMember(new Topology.Machine(18, 3, 1, 0), "a", ListEntry.Phase.ACTIVE, -1);
+        ObjectNode entry = (ObjectNode) JSON.readTree(encoded);
+        List<String> fieldNames = new ArrayList<>();
+        entry.fieldNames().forEachRemaining(fieldNames::add);
+        List<String> exampleFieldNames = new ArrayList<>();
+        example.fieldNames().forEachRemaining(exampleFieldNames::add);
+        assertEquals(exampleFieldNames, fieldNames);
         entry.put("id", "s-5be2a07c");
         assertEquals(example, JSON.readTree(JSON.writeValueAsBytes(entry)));
-        assertEquals(PROTOCOL_EXAMPLE.length(), made.length);
+        assertEquals(PROTOCOL_EXAMPLE.length(), encoded.length);
     }
 
     @Test
-    void theLengthOfAMessageIsThatOfItsBytes() throws IOException {
+    void theComputedLengthOfAMessageIsThatOfItsEncoding() throws IOException {
         for (int count : new int[] {0, 1, 2, 750}) {
             List<ListEntry> entries = new ArrayList<>();
             ArrayNode members = JSON.createArrayNode();
@@ -48,25 +48,25 @@
                 entries.add(entry(i, phase, i * 1000 - 1));
                 members.add(JSON.readTree(ListJson.encodeMember(entries.get(i).machine(), "a", phase, i * 1000 - 1)));
             }
-            int chunk = line(members).length();
-            int framed = Integer.toHexString(chunk).length() + 2 + chunk + 2;
-            assertEquals(framed, ListJson.messageBytes(43, false, entries), count + " entries");
+            int lineLength = encodeLine(members).length();
+            int chunkLength = Integer.toHexString(lineLength).length() + 2 + lineLength + 2;
+            assertEquals(chunkLength, ListJson.messageBytes(43, false, entries), count + " entries");
         }
     }
 
-    private static String line(ArrayNode members) throws JsonProcessingException {
+    private static String encodeLine(ArrayNode members) throws JsonProcessingException {
         ObjectNode message = JSON.createObjectNode().put("revision", 43).put("complete", false);
         message.set("members", members);
         return JSON.writeValueAsString(message) + "\n";
     }
 
     @Test
-    void anEmptyLineIsAChunkOfOneByte() {
-        assertEquals("1\r\n\n\r\n".length(), ListJson.EMPTY_LINE_BYTES);
+    void aKeepAliveIsAChunkOfOneByte() {
+        assertEquals("1\r\n\n\r\n".length(), ListJson.KEEP_ALIVE_BYTES);
     }
 
     @Test
-    void aCallNamesTheRevisionThatItHas() {
+    void aCallStatesTheRevisionOfTheSidecar() {
         assertEquals(
                 "GET /v1/endpoints?watch=1&from=41 HTTP/1.1\r\nhost: 10.2.0.1:8500\r\n\r\n".length(),
                 ListJson.callBytes(41));
