--- a/scale/src/test/java/gradehub/scale/model/NoOpBalancerHost.java
+++ b/scale/src/test/java/gradehub/scale/model/NoOpBalancerHost.java
@@ -9,17 +9,17 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A decision module with a list of this length, whose requests all fail to find an end. */
+/** Hosts a balancer that has a list of upstreams; ignores all actions that the balancer requests. */
 final class NoOpBalancerHost implements Balancer.Actions {
 
     private final Balancer balancer;
 
-    NoOpBalancerHost(Experiment experiment, int listed) {
+    NoOpBalancerHost(Experiment experiment, int upstreams) {
         Balancer.Settings settings = SimulatedSidecar.settings(experiment, 750);
         this.balancer = new LoadShiftingBalancer(settings, 1, this);
         balancer.start(0);
         List<Upstream> entries = new ArrayList<>();
-        for (int i = 0; i < listed; i++) {
+        for (int i = 0; i < upstreams; i++) {
             entries.add(new Upstream(1000 + i, Status.READY, 0, i % 5, 0, i % 140, 1));
         }
         balancer.upstreams(1, ListKind.FULL, entries);
