--- a/scale/src/main/java/gradehub/scale/model/Figures.java
+++ b/scale/src/main/java/gradehub/scale/model/Figures.java
@@ -16,14 +16,14 @@
 
     private final SimulationContext context;
     private final Measurements measurements;
-    private final double seconds;
+    private final double measuredSeconds;
     private final List<RunResult.Figure> figures = new ArrayList<>();
 
     private Figures(SimulationContext context) {
         this.context = context;
         this.measurements = context.measurements;
-        double measuredSeconds = context.queue.nowMicros() / MICROS_PER_SECOND - context.experiment.warmupSeconds();
-        this.seconds = Math.max(1 / MICROS_PER_SECOND, measuredSeconds);
+        double elapsedSeconds = context.queue.nowMicros() / MICROS_PER_SECOND - context.experiment.warmupSeconds();
+        this.measuredSeconds = Math.max(1 / MICROS_PER_SECOND, elapsedSeconds);
     }
 
     static RunResult compute(SimulationContext context, boolean complete) {
@@ -50,15 +50,15 @@
     }
 
     private void addCalls() {
-        add("measured-time", seconds, "s");
+        add("measured-time", measuredSeconds, "s");
         add("services", context.topology.services.size(), "1");
-        add("calls", sum(measurements.callsByLayer) / seconds, "1/s");
-        add("root-calls", measurements.rootOffered / seconds, "1/s");
+        add("calls", sum(measurements.callsByLayer) / measuredSeconds, "1/s");
+        add("root-calls", measurements.rootOffered / measuredSeconds, "1/s");
         add("root-served-part", ratio(measurements.rootServed, measurements.rootServed + measurements.rootFailed), "1");
         add("root-latency-p50", measurements.rootLatency.getValueAtPercentile(50) / 1000.0, "ms");
         add("root-latency-p99", measurements.rootLatency.getValueAtPercentile(99) / 1000.0, "ms");
         add("root-latency-p99.9", measurements.rootLatency.getValueAtPercentile(99.9) / 1000.0, "ms");
-        add("repeated-tries", measurements.retries / seconds, "1/s");
+        add("repeated-tries", measurements.retries / measuredSeconds, "1/s");
         add("answers-after-deadline", measurements.lateAnswers, "1");
         for (ApplicationCall.Answer answer : ApplicationCall.Answer.values()) {
             String name = answer.name().toLowerCase(Locale.ROOT);
@@ -73,11 +73,11 @@
     private void addAttempts() {
         int hops = measurements.attemptsArrivedByLayer.length - 1;
         double callsPerRequest = context.experiment.calls().callsPerRequest();
-        add("attempts", sum(measurements.attemptsSentByLayer) / seconds, "1/s");
+        add("attempts", sum(measurements.attemptsSentByLayer) / measuredSeconds, "1/s");
         add("attempts-per-call", ratio(sum(measurements.attemptsSentByLayer), sum(measurements.callsByLayer)), "1");
         double plannedLeaves = measurements.rootOffered * Math.pow(callsPerRequest, hops);
         add("leaf-attempts-per-planned", measurements.attemptsArrivedByLayer[hops] / Math.max(1, plannedLeaves), "1");
-        double plannedPerSecond = plannedLeaves / seconds;
+        double plannedPerSecond = plannedLeaves / measuredSeconds;
         add("leaf-attempts-most-in-a-second", ratio(maxPerSecond(row -> row.leafAttempts), plannedPerSecond), "1");
         for (int layer = 1; layer <= hops; layer++) {
             double planned = measurements.rootOffered * Math.pow(callsPerRequest, layer);
@@ -105,7 +105,10 @@
         }
     }
 
-    /** Groups services by size, as a sidecar's subset holds all of up to ten upstreams but only a part of more. */
+    /**
+     * Adds the spread by service size: a sidecar's subset holds all upstreams of a service with at most ten, but only a part
+     * of a larger one.
+     */
     private void addSpreads() {
         int[] maxSizes = {5, 10, Integer.MAX_VALUE};
         String[] sizeRanges = {"up-to-5", "6-to-10", "over-10"};
@@ -124,7 +127,7 @@
         }
     }
 
-    /** The mean load of a zone's upstreams, each relative to the mean of all upstreams of its service. */
+    /** Adds the mean load of a zone's upstreams, each relative to the mean of all upstreams of its service. */
     private void addZoneLoads() {
         double[] relativeLoads = new double[context.topology.zones.size()];
         int[] machines = new int[relativeLoads.length];
@@ -144,19 +147,19 @@
 
     private void addListService() {
         int sidecars = context.sidecars.size();
-        add("list-calls", measurements.listCalls / seconds, "1/s");
-        add("list-calls-failed", measurements.listCallsFailed / seconds, "1/s");
+        add("list-calls", measurements.listCalls / measuredSeconds, "1/s");
+        add("list-calls-failed", measurements.listCallsFailed / measuredSeconds, "1/s");
         add("list-calls-most-in-a-second", maxPerSecond(row -> row.listCalls), "1/s");
-        add("list-bytes-in", measurements.listBytesIn / seconds, "B/s");
-        add("list-bytes-out", measurements.listBytesOut / seconds, "B/s");
+        add("list-bytes-in", measurements.listBytesIn / measuredSeconds, "B/s");
+        add("list-bytes-out", measurements.listBytesOut / measuredSeconds, "B/s");
         add("list-bytes-out-most-in-a-second", maxPerSecond(row -> row.listBytesOut), "B/s");
         add(
                 "list-bytes-per-sidecar",
-                (measurements.listBytesIn + measurements.listBytesOut) / seconds / sidecars,
+                (measurements.listBytesIn + measurements.listBytesOut) / measuredSeconds / sidecars,
                 "B/s");
-        add("list-changes", measurements.listChanges / seconds, "1/s");
-        add("list-whole-lists", measurements.listWholeLists / seconds, "1/s");
-        add("list-busy-part", measurements.listBusyMicros / MICROS_PER_SECOND / seconds, "1");
+        add("list-changes", measurements.listChanges / measuredSeconds, "1/s");
+        add("list-whole-lists", measurements.listWholeLists / measuredSeconds, "1/s");
+        add("list-busy-part", measurements.listBusyMicros / MICROS_PER_SECOND / measuredSeconds, "1");
         add("list-longest-backlog", measurements.listLongestBacklogMicros / 1000.0, "ms");
         addDelays("told", measurements.changeDelays);
         addDelays("restored", measurements.restoreDelays);
@@ -181,8 +184,8 @@
 
     private List<RunResult.Second> secondRows() {
         List<RunResult.Second> rows = new ArrayList<>();
-        for (int i = 0; i < measurements.seconds.length - 1; i++) {
-            Measurements.SecondRow row = measurements.seconds[i];
+        for (int i = 0; i < measurements.secondRows.length - 1; i++) {
+            Measurements.SecondRow row = measurements.secondRows[i];
             rows.add(new RunResult.Second(
                     i,
                     row.rootOffered,
@@ -204,7 +207,7 @@
         for (Topology.Service service : context.topology.services) {
             if (service.layer() > 0) {
                 int upstreams = service.machines().size();
-                double perUpstream = attemptsArrived(service) / seconds / upstreams;
+                double perUpstream = attemptsArrived(service) / measuredSeconds / upstreams;
                 rows.add(new RunResult.ServiceLoad(
                         service.number(),
                         service.layer(),
@@ -238,8 +241,8 @@
     /** The highest count of a second since the end of the warm-up. */
     private double maxPerSecond(ToLongFunction<Measurements.SecondRow> count) {
         long max = 0;
-        for (int i = (int) context.experiment.warmupSeconds(); i < measurements.seconds.length; i++) {
-            max = Math.max(max, count.applyAsLong(measurements.seconds[i]));
+        for (int i = (int) context.experiment.warmupSeconds(); i < measurements.secondRows.length; i++) {
+            max = Math.max(max, count.applyAsLong(measurements.secondRows[i]));
         }
         return max;
     }
--- a/scale/src/main/java/gradehub/scale/model/Measurements.java
+++ b/scale/src/main/java/gradehub/scale/model/Measurements.java
@@ -22,7 +22,7 @@
     final long[] attemptsSentByDistance = new long[Network.Distance.values().length];
     final long[] answers = new long[ApplicationCall.Answer.values().length];
     final long[] outcomes = new long[Outcome.values().length];
-    final SecondRow[] seconds;
+    final SecondRow[] secondRows;
     long rootOffered;
     long rootServed;
     long rootFailed;
@@ -82,9 +82,9 @@
         this.layerOfMachine = topology.machines.stream()
                 .mapToInt(machine -> topology.services.get(machine.service()).layer())
                 .toArray();
-        this.seconds = new SecondRow[(int) Math.ceil(experiment.totalSeconds()) + 1];
-        for (int i = 0; i < seconds.length; i++) {
-            seconds[i] = new SecondRow();
+        this.secondRows = new SecondRow[(int) Math.ceil(experiment.totalSeconds()) + 1];
+        for (int i = 0; i < secondRows.length; i++) {
+            secondRows[i] = new SecondRow();
         }
     }
 
@@ -93,14 +93,14 @@
     }
 
     /** Returns the row of this time; times after the end of the run go to an additional last row. */
-    private SecondRow second(long nowMicros) {
-        return seconds[(int) Math.min(seconds.length - 1, nowMicros / SimulationContext.MICROS_PER_SECOND)];
+    private SecondRow rowAt(long nowMicros) {
+        return secondRows[(int) Math.min(secondRows.length - 1, nowMicros / SimulationContext.MICROS_PER_SECOND)];
     }
 
     // Calls and attempts.
 
     void rootCallStarted(long nowMicros) {
-        second(nowMicros).rootOffered++;
+        rowAt(nowMicros).rootOffered++;
         rootOffered += isAfterWarmup(nowMicros) ? 1 : 0;
     }
 
@@ -109,7 +109,7 @@
      * warm-up.
      */
     void rootCallEnded(long nowMicros, long intendedMicros, boolean served) {
-        second(nowMicros).rootServed += served ? 1 : 0;
+        rowAt(nowMicros).rootServed += served ? 1 : 0;
         if (!isAfterWarmup(intendedMicros)) {
             return;
         }
@@ -126,13 +126,13 @@
         callsByLayer[layerOfMachine[from.number()] + 1] += isAfterWarmup(nowMicros) ? 1 : 0;
     }
 
-    /** An application repeats a call through its sidecar. */
+    /** A client repeats a call through its sidecar. */
     void callRetried(long nowMicros) {
         retries += isAfterWarmup(nowMicros) ? 1 : 0;
     }
 
     void attemptSent(long nowMicros, Topology.Machine target, Network.Distance distance) {
-        second(nowMicros).attempts++;
+        rowAt(nowMicros).attempts++;
         if (isAfterWarmup(nowMicros)) {
             attemptsSentByLayer[layerOfMachine[target.number()]]++;
             attemptsSentByDistance[distance.ordinal()]++;
@@ -141,7 +141,7 @@
 
     void attemptArrived(long nowMicros, Topology.Machine machine) {
         int layer = layerOfMachine[machine.number()];
-        second(nowMicros).leafAttempts += layer == attemptsArrivedByLayer.length - 1 ? 1 : 0;
+        rowAt(nowMicros).leafAttempts += layer == attemptsArrivedByLayer.length - 1 ? 1 : 0;
         if (isAfterWarmup(nowMicros)) {
             attemptsArrivedByLayer[layer]++;
             attemptsArrivedByMachine[machine.number()]++;
@@ -183,28 +183,28 @@
     // List service.
 
     void listCallReceived(long nowMicros, int bytes) {
-        SecondRow second = second(nowMicros);
-        second.listCalls++;
-        second.listBytesIn += bytes;
+        SecondRow row = rowAt(nowMicros);
+        row.listCalls++;
+        row.listBytesIn += bytes;
         listCalls += isAfterWarmup(nowMicros) ? 1 : 0;
         listBytesIn += isAfterWarmup(nowMicros) ? bytes : 0;
     }
 
     void listCallFailed(long nowMicros, int bytes) {
-        second(nowMicros).listCallsFailed++;
-        second(nowMicros).listBytesOut += bytes;
+        rowAt(nowMicros).listCallsFailed++;
+        rowAt(nowMicros).listBytesOut += bytes;
         listCallsFailed += isAfterWarmup(nowMicros) ? 1 : 0;
         listBytesOut += isAfterWarmup(nowMicros) ? bytes : 0;
     }
 
     void listMessageWritten(long nowMicros, int bytes, boolean fullList) {
-        second(nowMicros).listBytesOut += bytes;
+        rowAt(nowMicros).listBytesOut += bytes;
         listBytesOut += isAfterWarmup(nowMicros) ? bytes : 0;
         listWholeLists += isAfterWarmup(nowMicros) && fullList ? 1 : 0;
     }
 
     void listKeepAliveWritten(long nowMicros, int bytes) {
-        second(nowMicros).listBytesOut += bytes;
+        rowAt(nowMicros).listBytesOut += bytes;
         listBytesOut += isAfterWarmup(nowMicros) ? bytes : 0;
     }
 
@@ -219,24 +219,27 @@
         listChanges += isAfterWarmup(nowMicros) ? 1 : 0;
     }
 
-    /** A sidecar has received a list change; the delay starts when it is made and the list service is reachable. */
+    /**
+     * A sidecar has received a list change. The delay starts with the change or, if later, when the list service became
+     * reachable.
+     */
     void listChangeReceived(long nowMicros, long delayMicros) {
         if (isAfterWarmup(nowMicros)) {
             changeDelays.recordValue(delayMicros);
         }
     }
 
-    /** A sidecar that had lost its watch has one again; the delay starts when the list service is reachable. */
+    /** A sidecar that had lost its watch has one again, this long after the list service became reachable. */
     void watchRestored(long nowMicros, long delayMicros) {
-        second(nowMicros).watchesRestored++;
+        rowAt(nowMicros).watchesRestored++;
         if (isAfterWarmup(nowMicros)) {
             restoreDelays.recordValue(delayMicros);
         }
     }
 
-    /** A sidecar has the list of a newly configured list service; the delay starts when the sidecar is configured. */
+    /** A sidecar has the list of a newly configured list service, this long after the change of its configuration. */
     void listServiceMoved(long nowMicros, long delayMicros) {
-        second(nowMicros).listServiceMoves++;
+        rowAt(nowMicros).listServiceMoves++;
         if (isAfterWarmup(nowMicros)) {
             moveDelays.recordValue(delayMicros);
         }
--- a/scale/src/main/java/gradehub/scale/model/Network.java
+++ b/scale/src/main/java/gradehub/scale/model/Network.java
@@ -3,7 +3,7 @@
 import gradehub.scale.experiment.NetworkModel;
 
 /**
- * Message delays between machines and the connectivity of regions. A message to a region that is not connected is lost
+ * Message delays between machines and the connectivity of regions. Messages between disconnected regions are lost
  * without an error. The list service runs in the first region, outside the zones of the fleet.
  */
 final class Network {
@@ -52,7 +52,7 @@
         return delayMicros(machine.region() == LIST_SERVICE_REGION ? Distance.OTHER_ZONE : Distance.OTHER_REGION);
     }
 
-    boolean isReachable(Topology.Machine from, Topology.Machine to) {
+    boolean areConnected(Topology.Machine from, Topology.Machine to) {
         return areRegionsConnected(from.region(), to.region());
     }
 
--- a/scale/src/main/java/gradehub/scale/model/SimulationContext.java
+++ b/scale/src/main/java/gradehub/scale/model/SimulationContext.java
@@ -51,7 +51,7 @@
     boolean isReachable(Topology.Machine from, Topology.Machine to) {
         return !upstreams.get(from.number()).isMachineLost()
                 && !upstreams.get(to.number()).isMachineLost()
-                && network.isReachable(from, to);
+                && network.areConnected(from, to);
     }
 
     /** The one-way delay of a message between two machines. */
--- a/scale/src/test/java/gradehub/scale/model/SimulationTest.java
+++ b/scale/src/test/java/gradehub/scale/model/SimulationTest.java
@@ -105,7 +105,7 @@
         };
     }
 
-    /** Random faults at random times: no sidecar answers after the deadline, and no root call is left without an end. */
+    /** Random faults at random times: no sidecar answers after the deadline, and every root call ends. */
     @Property(tries = 25, seed = "20", shrinking = ShrinkingMode.OFF)
     void eachCallIsAnsweredByItsDeadlineUnderRandomFaults(@ForAll("faults") List<Fault> faults, @ForAll long seed) {
         Experiment small = TestExperiments.withRate(TestExperiments.small(), 150);
