--- a/sidecar/src/main/java/gradehub/node/ClientConnection.java
+++ b/sidecar/src/main/java/gradehub/node/ClientConnection.java
@@ -49,7 +49,7 @@
     private final ArrayDeque<PendingAnswer> pending = new ArrayDeque<>();
     /** When the connection became idle, or 0 while it is not. */
     private double idleSinceMs;
-    /** When the request being received began, or 0 if there is none. */
+    /** When the request being received began (for the first one, when the client connected), or 0 if there is none. */
     private double receivingSinceMs;
     /** When the pending writes last made progress, or 0 if there are none. */
     private double writingSinceMs;
@@ -279,15 +279,15 @@
 
     /** Starts or completes the close of a connection that is idle or has sent nothing; returns whether it did. */
     boolean closeToFreeSocket(double nowMs) {
-        boolean closing = drainingSinceMs > 0 && pendingWrites == 0;
-        boolean canClose = closing
+        boolean draining = drainingSinceMs > 0 && pendingWrites == 0;
+        boolean canClose = draining
                 || hasNoWork()
                         && (idleSinceMs > 0 && nowMs - idleSinceMs > IDLE_TIMEOUT_MS
                                 || nothingReceived && nowMs - receivingSinceMs > FIRST_BYTE_TIMEOUT_MS);
         if (!canClose || !channel.isOpenWithoutInput()) {
             return false;
         }
-        if (closing) {
+        if (draining) {
             close();
         } else {
             shutdown();
@@ -325,10 +325,7 @@
         return inputRead;
     }
 
-    /**
-     * Closes the connection unless a request is open, being received or likely to arrive; it then closes after the
-     * answer.
-     */
+    /** Closes the connection unless a request is open, being received or likely to arrive: that is answered first. */
     void closeIfIdle(double nowMs) {
         boolean receiving =
                 receivingSinceMs > 0 && (!nothingReceived || nowMs - receivingSinceMs <= FIRST_BYTE_TIMEOUT_MS);
--- a/sidecar/src/main/java/gradehub/node/Discovery.java
+++ b/sidecar/src/main/java/gradehub/node/Discovery.java
@@ -70,7 +70,7 @@
     private long lastReceivedNanos;
 
     private boolean received;
-    private boolean listReceived;
+    private boolean listApplied;
     private boolean watching;
     private ListRequest watch;
     private long reconnectDelayMs;
@@ -126,7 +126,7 @@
 
     /** Whether a list has been applied, from discovery or from the configuration. */
     boolean hasList() {
-        return listReceived;
+        return listApplied;
     }
 
     /**
@@ -150,9 +150,9 @@
     public void subscribe(boolean on) {
         watching = on;
         if (watch != null) {
-            ListRequest old = watch;
+            ListRequest replaced = watch;
             watch = null;
-            old.close();
+            replaced.close();
         }
         if (on) {
             watch = new ListRequest(true);
@@ -165,7 +165,7 @@
     }
 
     private void apply(Update update, ListKind kind) {
-        listReceived = true;
+        listApplied = true;
         double silentMs = received ? (System.nanoTime() - lastReceivedNanos) / 1e6 : Double.POSITIVE_INFINITY;
         engine.upstreams(kind, update, silentMs);
     }
