--- a/sidecar/src/main/java/gradehub/ClassStats.java
+++ b/sidecar/src/main/java/gradehub/ClassStats.java
@@ -53,7 +53,7 @@
         return baselineMs > 0 ? baselineMs : medianMs;
     }
 
-    /** Tracks a minimum: halfway to a lower value (a minimum would sink with noise), or up by the drift. */
+    /** Tracks a minimum: halfway to a lower value (a true one would sink with noise), or up by the drift. */
     static double trackMin(double minimum, double value, double drift) {
         return value < minimum ? (minimum + value) / 2 : minimum * (1 + drift);
     }
