--- a/scale/src/main/java/gradehub/scale/model/ListClient.java
+++ b/scale/src/main/java/gradehub/scale/model/ListClient.java
@@ -88,7 +88,7 @@
         sidecar.watchFailed(nowMicros);
     }
 
-    /** Handles data received on a watch; {@code update} is null for an empty line. */
+    /** Handles data received on a watch; {@code update} is null for a keep-alive. */
     void received(long nowMicros, Watch source, ListUpdate update) {
         if (source != watch) {
             return;
@@ -101,6 +101,7 @@
         }
     }
 
+    /** Measures the delays that this update ends; called before its revision is taken over. */
     private void recordDelays(long nowMicros, ListUpdate update) {
         long reachableMicros = Math.max(startedMicros, context.listService.reachableSinceMicros(sidecar.machine()));
         if (watchLost) {
@@ -137,7 +138,7 @@
     private void close(long nowMicros) {
         if (watch != null) {
             watch.openAtSidecar = false;
-            context.listService.closeFromSidecar(nowMicros, watch);
+            context.listService.receiveClose(nowMicros, watch);
             watch = null;
         }
     }
--- a/scale/src/main/java/gradehub/scale/model/ListJson.java
+++ b/scale/src/main/java/gradehub/scale/model/ListJson.java
@@ -70,8 +70,9 @@
         return byteLength("GET /v1/endpoints?watch=1" + query + " HTTP/1.1\r\nhost: 10.2.0.1:8500\r\n\r\n");
     }
 
-    private static int chunkBytes(int length) {
-        return Integer.toHexString(length).length() + length + 4;
+    /** Length of an HTTP chunk: the size in hexadecimal, the data and two line ends. */
+    private static int chunkBytes(int dataLength) {
+        return Integer.toHexString(dataLength).length() + dataLength + 4;
     }
 
     private static int byteLength(String text) {
--- a/scale/src/main/java/gradehub/scale/model/ListService.java
+++ b/scale/src/main/java/gradehub/scale/model/ListService.java
@@ -10,8 +10,8 @@
 /**
  * The simulated discovery service: a single server that handles calls sequentially, each for a fixed time plus a time
  * per entry. It answers a call for a watch with the changes since the caller's revision or with the full list, pushes
- * later changes over the watch and writes an empty line every two seconds. Traffic is counted in the byte lengths of
- * the protocol's messages.
+ * later changes over the watch and writes an empty line every two seconds as a keep-alive. Traffic is counted in the
+ * byte lengths of the protocol's messages.
  */
 final class ListService {
 
@@ -58,6 +58,7 @@
         return revision;
     }
 
+    /** Whether messages get through between the service and this machine. */
     boolean isReachableFrom(Topology.Machine machine) {
         return !context.upstreams.get(machine.number()).isMachineLost()
                 && context.network.isListServiceReachable(machine);
@@ -220,7 +221,7 @@
     }
 
     /** Handles the close of a watch by its sidecar, which goes unnoticed for much longer if the path is cut. */
-    void closeFromSidecar(long nowMicros, Watch watch) {
+    void receiveClose(long nowMicros, Watch watch) {
         long delay = isReachableFrom(watch.machine)
                 ? context.network.listServiceDelayMicros(watch.machine)
                 : HALF_OPEN_TIMEOUT_MICROS;
