--- a/scale/src/main/java/gradehub/scale/model/ColdStart.java
+++ b/scale/src/main/java/gradehub/scale/model/ColdStart.java
@@ -15,30 +15,30 @@
 
     private final UpstreamModel model;
     private final double warmRequestsPerMicro;
-    private final long coldMicros;
+    private final long coldDurationMicros;
     private final long windowMicros;
     private final ArrayDeque<Arrival> arrivals = new ArrayDeque<>();
     private double requestsInWindow;
     private long startedMicros;
-    private long warmMicros;
+    private long warmFromMicros;
 
     ColdStart(UpstreamModel model, double warmRequestsPerMicro) {
         this.model = model;
         this.warmRequestsPerMicro = warmRequestsPerMicro;
-        this.coldMicros = model.coldMillis() * SimulationContext.MICROS_PER_MILLI;
+        this.coldDurationMicros = model.coldMillis() * SimulationContext.MICROS_PER_MILLI;
         this.windowMicros = model.overloadWindowMillis() * SimulationContext.MICROS_PER_MILLI;
     }
 
     /** A new process has started and is cold. */
     void start(long nowMicros) {
         startedMicros = nowMicros;
-        warmMicros = nowMicros + coldMicros;
+        warmFromMicros = nowMicros + coldDurationMicros;
         arrivals.clear();
         requestsInWindow = 0;
     }
 
     boolean isCold(long nowMicros) {
-        return nowMicros < warmMicros;
+        return nowMicros < warmFromMicros;
     }
 
     /** The current capacity as a fraction of that of a warm upstream. */
@@ -46,7 +46,7 @@
         if (!isCold(nowMicros)) {
             return 1;
         }
-        return model.coldFrom() + (1 - model.coldFrom()) * (nowMicros - startedMicros) / coldMicros;
+        return model.coldFrom() + (1 - model.coldFrom()) * (nowMicros - startedMicros) / coldDurationMicros;
     }
 
     /**
--- a/scale/src/main/java/gradehub/scale/model/RootClients.java
+++ b/scale/src/main/java/gradehub/scale/model/RootClients.java
@@ -3,7 +3,7 @@
 import java.util.SplittableRandom;
 
 /**
- * The external clients of one machine of layer 0. Root calls arrive in an open loop as a Poisson process, regardless of
+ * The outside clients of one machine of layer 0. Root calls arrive in an open loop as a Poisson process, regardless of
  * the outcome of earlier calls.
  */
 final class RootClients {
--- a/scale/src/main/java/gradehub/scale/model/ServiceClient.java
+++ b/scale/src/main/java/gradehub/scale/model/ServiceClient.java
@@ -111,8 +111,8 @@
         }
         request.answered = true;
         long nowMicros = context.queue.nowMicros();
-        boolean sent = !request.attempts.isEmpty();
-        context.measurements.requestAnswered(nowMicros, nowMicros - request.deadlineMicros, answer, sent);
+        boolean attempted = !request.attempts.isEmpty();
+        context.measurements.requestAnswered(nowMicros, nowMicros - request.deadlineMicros, answer, attempted);
         context.queue.scheduleAfter(
                 context.network.model().localMicros(), now -> request.call.answerReceived(now, answer));
     }
@@ -130,32 +130,33 @@
     @Override
     public void send(int requestId, int upstreamId, double timeoutMs) {
         OpenRequest request = openRequests.get(requestId);
-        long now = context.queue.nowMicros();
-        long requestedDeadline = timeoutMs == 0
+        long nowMicros = context.queue.nowMicros();
+        long requestedDeadlineMicros = timeoutMs == 0
                 ? request.deadlineMicros
-                : now + Math.round(timeoutMs * SimulationContext.MICROS_PER_MILLI);
-        long deadline = Math.min(requestedDeadline, request.deadlineMicros);
+                : nowMicros + Math.round(timeoutMs * SimulationContext.MICROS_PER_MILLI);
+        long attemptDeadlineMicros = Math.min(requestedDeadlineMicros, request.deadlineMicros);
         SimulatedUpstream target = context.upstreams.get(upstreamId);
-        Attempt attempt = new Attempt(this, request, request.attempts.size(), target, now, deadline);
+        Attempt attempt = new Attempt(this, request, request.attempts.size(), target, nowMicros, attemptDeadlineMicros);
         request.attempts.add(attempt);
         request.attemptsInFlight++;
-        if (request.answered || attempt.number >= maxAttempts || request.deadlineMicros <= now) {
-            context.queue.scheduleAt(now, later -> attemptEnded(later, attempt, Outcome.NOT_SENT));
+        if (request.answered || attempt.number >= maxAttempts || request.deadlineMicros <= nowMicros) {
+            context.queue.scheduleAt(nowMicros, now -> attemptEnded(now, attempt, Outcome.NOT_SENT));
             return;
         }
-        context.queue.scheduleAt(deadline, attempt);
-        transmit(now, attempt);
+        context.queue.scheduleAt(attemptDeadlineMicros, attempt);
+        transmit(nowMicros, attempt);
     }
 
-    private void transmit(long now, Attempt attempt) {
+    private void transmit(long nowMicros, Attempt attempt) {
         Topology.Machine target = attempt.upstream.machine();
-        context.measurements.attemptSent(now, target, Network.distance(sidecar.machine(), target));
+        context.measurements.attemptSent(nowMicros, target, Network.distance(sidecar.machine(), target));
         if (context.isReachable(sidecar.machine(), target)) {
-            long delay = context.delayMicros(sidecar.machine(), target);
-            context.queue.scheduleAt(now + delay, later -> attempt.upstream.receive(later, attempt));
+            long delayMicros = context.delayMicros(sidecar.machine(), target);
+            context.queue.scheduleAt(nowMicros + delayMicros, now -> attempt.upstream.receive(now, attempt));
         } else {
-            long timeout = context.network.model().connectTimeoutMillis() * SimulationContext.MICROS_PER_MILLI;
-            context.queue.scheduleAt(now + timeout, later -> attemptEnded(later, attempt, Outcome.CONNECT_FAILED));
+            long timeoutMicros = context.network.model().connectTimeoutMillis() * SimulationContext.MICROS_PER_MILLI;
+            context.queue.scheduleAt(
+                    nowMicros + timeoutMicros, now -> attemptEnded(now, attempt, Outcome.CONNECT_FAILED));
         }
     }
 
@@ -163,8 +164,8 @@
     void deliverOutcome(long nowMicros, Attempt attempt, Outcome outcome) {
         Topology.Machine source = attempt.upstream.machine();
         if (running && !attempt.ended && context.isReachable(sidecar.machine(), source)) {
-            long delay = context.delayMicros(sidecar.machine(), source);
-            context.queue.scheduleAt(nowMicros + delay, now -> attemptEnded(now, attempt, outcome));
+            long delayMicros = context.delayMicros(sidecar.machine(), source);
+            context.queue.scheduleAt(nowMicros + delayMicros, now -> attemptEnded(now, attempt, outcome));
         }
     }
 
--- a/scale/src/main/java/gradehub/scale/model/SimulatedUpstream.java
+++ b/scale/src/main/java/gradehub/scale/model/SimulatedUpstream.java
@@ -23,7 +23,9 @@
 
     private final double logStandardDeviation;
     private final ArrayDeque<Attempt> waiting = new ArrayDeque<>();
+    /** All accepted attempts without an outcome, including those that wait. */
     private final List<Attempt> inProgress = new ArrayList<>();
+
     private final ColdStart coldStart;
     private int busyCores;
     private int incarnation;
@@ -121,15 +123,15 @@
             return;
         }
         context.measurements.attemptArrived(nowMicros, machine);
-        double work = Math.exp(logMean + logStandardDeviation * random.nextGaussian());
-        if (crashIfOverloadedWhileCold(nowMicros, work)) {
+        double workMicros = Math.exp(logMean + logStandardDeviation * random.nextGaussian());
+        if (crashIfOverloadedWhileCold(nowMicros, workMicros)) {
             return;
         }
         if (errorFraction > 0 && random.nextDouble() < errorFraction) {
             attempt.client.deliverOutcome(nowMicros, attempt, Outcome.ERROR);
         } else if (busyCores < model.cores()) {
             addInProgress(attempt);
-            startLocalWork(nowMicros, attempt, work);
+            startLocalWork(nowMicros, attempt, workMicros);
         } else if (waiting.size() < model.queueCapacity()) {
             addInProgress(attempt);
             waiting.add(attempt);
@@ -139,11 +141,11 @@
     }
 
     /** Counts an arrival at a cold upstream; crashes the process and returns true if the load exceeds its limit. */
-    private boolean crashIfOverloadedWhileCold(long nowMicros, double work) {
+    private boolean crashIfOverloadedWhileCold(long nowMicros, double workMicros) {
         if (!coldStart.isCold(nowMicros)) {
             return false;
         }
-        double load = coldStart.recordArrival(nowMicros, work / meanWorkMicros);
+        double load = coldStart.recordArrival(nowMicros, workMicros / meanWorkMicros);
         context.measurements.coldAttemptArrived(load);
         if (load > 1 && !crashedByOverload) {
             crashedByOverload = true;
@@ -157,8 +159,9 @@
     private void startLocalWork(long nowMicros, Attempt attempt, double workMicros) {
         busyCores++;
         int startIncarnation = incarnation;
-        long duration = Math.max(1, Math.round(workMicros * slowdownFactor / coldStart.capacityFraction(nowMicros)));
-        context.queue.scheduleAt(nowMicros + duration, now -> {
+        long durationMicros =
+                Math.max(1, Math.round(workMicros * slowdownFactor / coldStart.capacityFraction(nowMicros)));
+        context.queue.scheduleAt(nowMicros + durationMicros, now -> {
             if (incarnation == startIncarnation) {
                 finishLocalWork(now, attempt);
             }
