--- a/scale/src/test/java/gradehub/scale/model/CallTreeTest.java
+++ b/scale/src/test/java/gradehub/scale/model/CallTreeTest.java
@@ -29,8 +29,8 @@
     }
 
     /**
-     * Each layer is sent at most 1.25 attempts for each call to it, plus 20 for each balancer that calls it. The bound on
-     * attempts that arrive at the last layer compounds these limits over all hops.
+     * Each layer is sent at most 1.25 attempts for each call to it, plus 20 for each balancer that calls it. The bound
+     * on attempts that arrive at the last layer compounds these limits over all hops.
      */
     private static void assertAttemptsWithinBudget(SimulationContext context) {
         Measurements counted = context.measurements;
--- a/scale/src/test/java/gradehub/scale/model/ColdStartTest.java
+++ b/scale/src/test/java/gradehub/scale/model/ColdStartTest.java
@@ -19,8 +19,8 @@
     private static final UpstreamModel MODEL = new UpstreamModel(2, 64, 1, 0.1, 20_000, 4, 2000);
 
     /**
-     * All machines of a zone return at once. Without the balancer's protection of cold upstreams, an upstream crashed in
-     * one of these cases.
+     * All machines of a zone return at once. In a trial without the balancer's protection of cold upstreams, one of
+     * these cases crashed an upstream.
      */
     @ParameterizedTest
     @CsvSource({"1, 4, 0.5", "1, 2.5, 0.7", "1, 1.5, 0.7", "2, 1.5, 0.7", "3, 1.5, 0.7"})
