--- a/scale/src/main/java/gradehub/scale/model/Figures.java
+++ b/scale/src/main/java/gradehub/scale/model/Figures.java
@@ -106,8 +106,8 @@
     }
 
     /**
-     * Adds the spread by service size: a sidecar's subset holds all upstreams of a service with at most ten, but only a part
-     * of a larger one.
+     * Adds the spread by service size: a sidecar's subset holds all upstreams of a service with at most ten, but only a
+     * part of a larger one.
      */
     private void addSpreads() {
         int[] maxSizes = {5, 10, Integer.MAX_VALUE};
--- a/scale/src/test/java/gradehub/scale/model/SimulationTest.java
+++ b/scale/src/test/java/gradehub/scale/model/SimulationTest.java
@@ -119,8 +119,7 @@
                 .mapToInt(SimulatedSidecar::incarnation)
                 .sum();
         long pendingAtEnd = measurements.rootOffered - measurements.rootServed - measurements.rootFailed;
-        // Pending are the root calls of the last 2.1 s (their deadline is 2 s), and at most 30 per ended sidecar
-        // process.
+        // Root calls of the last 2.1 s (their deadline is 2 s), and at most 30 per ended sidecar process.
         double maxPending = 150 * 2.1 + restarts * 30;
         assertTrue(
                 pendingAtEnd >= 0 && pendingAtEnd <= maxPending,
