--- a/scale/src/main/java/gradehub/scale/model/ListClient.java
+++ b/scale/src/main/java/gradehub/scale/model/ListClient.java
@@ -101,7 +101,7 @@
         }
     }
 
-    /** Measures the delays that this update ends; called before its revision is taken over. */
+    /** Records how long the sidecar has waited for this update; runs before {@code revision} is set to that of the update. */
     private void recordDelays(long nowMicros, ListUpdate update) {
         long reachableMicros = Math.max(startedMicros, context.listService.reachableSinceMicros(sidecar.machine()));
         if (watchLost) {
