--- a/sidecar/src/main/java/gradehub/AdmissionControl.java
+++ b/sidecar/src/main/java/gradehub/AdmissionControl.java
@@ -41,7 +41,7 @@
                 .sum();
         boolean underserved = stats.served < WELL_SERVED * stats.offered && isServedWorst(stats);
         double bonus = underserved ? goal.worstClass() * offered / stats.offered : 0;
-        return goal.whole() * stats.spec.worth() + bonus;
+        return goal.overall() * stats.spec.worth() + bonus;
     }
 
     private boolean isServedWorst(ClassStats stats) {
--- a/sidecar/src/main/java/gradehub/Balancer.java
+++ b/sidecar/src/main/java/gradehub/Balancer.java
@@ -13,11 +13,11 @@
  */
 public interface Balancer {
 
-    /** The sidecar has started. Called once, before all other methods except {@link #clientRoom}. */
+    /** The sidecar has started. Called once, before all other methods except {@link #setMaxClientRequests}. */
     void start(double nowMs);
 
     /** Sets how many requests clients can have open at once. Called before {@link #start}, if the number is known. */
-    default void clientRoom(int requests) {}
+    default void setMaxClientRequests(int requests) {}
 
     /** An update of the list of upstreams; {@code entries} is empty for {@link ListKind#FAILED}. */
     void upstreams(double nowMs, ListKind kind, List<Upstream> entries);
@@ -32,7 +32,7 @@
     void attemptEnded(double nowMs, AttemptEnd end);
 
     /** The client has disconnected; its request needs no answer. */
-    void clientLeft(double nowMs, int request);
+    void clientDisconnected(double nowMs, int request);
 
     /** A timer set with {@link Actions#timer} has expired. */
     void timer(double nowMs, int token);
@@ -157,7 +157,7 @@
      * One request; {@code tenant} is undefined if {@link Settings#tenants} is empty. {@code costMs} is a rough estimate
      * of its CPU time on a standard core, or 0 if there is none.
      */
-    record Request(int id, int requestClass, int tenant, double timeoutMs, boolean repeat, double costMs) {
+    record Request(int id, int requestClass, int tenant, double timeoutMs, boolean retry, double costMs) {
         /** Rejects a NaN timeout and a negative cost estimate. */
         public Request {
             require(!Double.isNaN(timeoutMs), "timeout of a request must be a number");
@@ -218,27 +218,27 @@
     }
 
     /** The platform's contract: how upstreams warm up, and how often to fetch the list without a subscription. */
-    record Contract(double coldFrom, double coldMs, double overloadFactor, double overloadMs, double askEveryMs) {
+    record Contract(double coldFrom, double coldMs, double overloadFactor, double overloadMs, double listIntervalMs) {
         /** Rejects a cold capacity outside (0, 1], negative times and non-positive factors. */
         public Contract {
             require(coldFrom > 0 && coldFrom <= 1, "cold share must be above 0 and at most 1");
             require(coldMs >= 0 && overloadMs >= 0, "times of the contract must not be negative");
             require(
-                    overloadFactor > 0 && askEveryMs > 0,
+                    overloadFactor > 0 && listIntervalMs > 0,
                     "overload factor and list interval of the contract must be positive");
         }
     }
 
     /** The weights of the service goal: for all requests, for the worst class and for the worst tenant. */
-    record Goal(double whole, double worstClass, double worstTenant) {}
+    record Goal(double overall, double worstClass, double worstTenant) {}
 
     /** The settings of a balancer; {@code reportsOnProbe} is true if upstreams report load only to probes. */
     record Settings(
             List<RequestClass> classes,
             List<Tenant> tenants,
             int sidecars,
-            boolean askForList,
-            boolean repeatsMarked,
+            boolean pollsList,
+            boolean retriesMarked,
             double tickMs,
             double overShareWorth,
             List<String> reportFields,
@@ -259,7 +259,7 @@
         }
 
         /** The number of requests active or waiting at an upstream by its load report; 0 if it has no such field. */
-        double requestsIn(double[] report) {
+        double reportedRequests(double[] report) {
             double requests = 0;
             for (int i = 0; i < report.length && i < reportFields.size(); i++) {
                 if (reportFields.get(i).equals("active") || reportFields.get(i).equals("waiting")) {
--- a/sidecar/src/main/java/gradehub/ClassStats.java
+++ b/sidecar/src/main/java/gradehub/ClassStats.java
@@ -63,10 +63,10 @@
      * the rest of its deadline as its timeout, which gives the time of the first try. If none was unserved at
      * that time, this counts as a first try, so that short timeouts are not all taken for late retries.
      */
-    double elapsedMs(double nowMs, Balancer.Request request, boolean repeatsMarked) {
+    double elapsedMs(double nowMs, Balancer.Request request, boolean retriesMarked) {
         boolean usual = usualTimeout.count(request.timeoutMs(), timeoutToleranceMs);
         double usedMs = Math.max(0, spec.deadlineMs() - request.timeoutMs());
-        boolean first = repeatsMarked ? !request.repeat() : usual || !unservedRequests.remove(nowMs - usedMs);
+        boolean first = retriesMarked ? !request.retry() : usual || !unservedRequests.remove(nowMs - usedMs);
         return first ? 0 : usedMs;
     }
 }
--- a/sidecar/src/main/java/gradehub/LoadShiftingBalancer.java
+++ b/sidecar/src/main/java/gradehub/LoadShiftingBalancer.java
@@ -61,7 +61,7 @@
 
     @Override
     public void start(double nowMs) {
-        if (settings.askForList()) {
+        if (settings.pollsList()) {
             actions.subscribe(true);
         }
     }
@@ -69,12 +69,12 @@
     @Override
     public void request(double nowMs, Request request) {
         ClassStats stats = classes.get(request.requestClass());
-        double elapsedMs = stats.elapsedMs(nowMs, request, settings.repeatsMarked());
+        double elapsedMs = stats.elapsedMs(nowMs, request, settings.retriesMarked());
         double answerMs = request.timeoutMs() - 2 * settings.tickMs();
         double aimMs = Math.min(answerMs, stats.spec.aimMs() - elapsedMs - 2 * settings.tickMs());
         double validMs = stats.spec.lateWorth() == 0 ? aimMs : answerMs; // late answers may have value
         stats.offered++;
-        double value = admission.answerValue(stats) * (request.repeat() || elapsedMs > 0 ? REPEAT_VALUE : 1);
+        double value = admission.answerValue(stats) * (request.retry() || elapsedMs > 0 ? REPEAT_VALUE : 1);
         Call call = new Call(request, stats, value, received++, nowMs + aimMs, nowMs + validMs);
         call.firstArrivalMs = nowMs - elapsedMs;
         calls.put(call.id, call);
@@ -179,7 +179,7 @@
         }
         attempt.end(end.outcome());
         if (end.report().length > 0) {
-            attempt.upstream.updateLoad(nowMs, 1 + settings.requestsIn(end.report()));
+            attempt.upstream.updateLoad(nowMs, 1 + settings.reportedRequests(end.report()));
         }
         if (!call.streaming) {
             recordResult(nowMs, attempt, end.outcome(), end.elapsedMs());
@@ -231,7 +231,7 @@
     }
 
     private void answerUnserved(Call call) {
-        if (retries.isSafeToRepeat(call)) {
+        if (retries.isSafeToRetry(call)) {
             actions.refuse(call.id, settings.limits().maxRetryAfterMs());
         } else {
             actions.fail(call.id);
@@ -272,7 +272,7 @@
     }
 
     @Override
-    public void clientLeft(double nowMs, int request) {
+    public void clientDisconnected(double nowMs, int request) {
         Call call = calls.get(request);
         if (call != null && !call.done) {
             waiting.remove(call);
@@ -290,7 +290,7 @@
         UpstreamState probed = list.find(upstream);
         if (probed != null && outcome == Outcome.OK) {
             ejection.recordAnswer(nowMs, probed, members.size());
-            probed.updateLoad(nowMs, 1 + settings.requestsIn(report));
+            probed.updateLoad(nowMs, 1 + settings.reportedRequests(report));
         } else if (probed != null) {
             probed.updateLoad(nowMs, Double.MAX_VALUE); // until it answers a later probe
             ejection.eject(nowMs, probed, "a probe found it out of reach");
@@ -326,7 +326,7 @@
     }
 
     @Override
-    public void clientRoom(int requests) {
+    public void setMaxClientRequests(int requests) {
         admission.maxConnections = requests;
     }
 
--- a/sidecar/src/main/java/gradehub/RetryPolicy.java
+++ b/sidecar/src/main/java/gradehub/RetryPolicy.java
@@ -39,7 +39,7 @@
     }
 
     /** Whether the client may resend the request, to any upstream; a refusal tells the client so. */
-    boolean isSafeToRepeat(Call call) {
+    boolean isSafeToRetry(Call call) {
         Balancer.Effect effect = call.stats.spec.effect();
         return effect == Balancer.Effect.SAFE
                 || call.provenNotRun()
--- a/sidecar/src/main/java/gradehub/benchlink/BenchLink.java
+++ b/sidecar/src/main/java/gradehub/benchlink/BenchLink.java
@@ -106,7 +106,7 @@
             case 3 -> requestArrived(instance, balancer, nowMs);
             case 4 -> streamStarted(instance, balancer, nowMs);
             case 5 -> attemptEnded(instance, balancer, nowMs);
-            case 6 -> clientLeft(instance, balancer, nowMs);
+            case 6 -> clientDisconnected(instance, balancer, nowMs);
             case 7 -> timerFired(instance, balancer, nowMs);
             case 8 -> probeEnded(instance, balancer, nowMs);
             case 9 -> peerMessageReceived(instance, balancer, nowMs);
@@ -179,9 +179,9 @@
                         nowMs, new AttemptEnd(id, attempt, upstream, outcome, elapsedMs, done, report)));
     }
 
-    private void clientLeft(int instance, Balancer balancer, double nowMs) throws IOException {
+    private void clientDisconnected(int instance, Balancer balancer, double nowMs) throws IOException {
         int id = batch.u32();
-        deliver(instance, balancer, () -> balancer.clientLeft(nowMs, id));
+        deliver(instance, balancer, () -> balancer.clientDisconnected(nowMs, id));
     }
 
     private void timerFired(int instance, Balancer balancer, double nowMs) throws IOException {
--- a/sidecar/src/main/java/gradehub/node/ClientServer.java
+++ b/sidecar/src/main/java/gradehub/node/ClientServer.java
@@ -174,7 +174,7 @@
     }
 
     void clientClosed(Engine.Exchange exchange) {
-        engine.clientLeft(exchange);
+        engine.clientDisconnected(exchange);
     }
 
     void releaseId(String id) {
--- a/sidecar/src/main/java/gradehub/node/Discovery.java
+++ b/sidecar/src/main/java/gradehub/node/Discovery.java
@@ -79,7 +79,7 @@
         this.loop = loop;
         this.address = config.discovery();
         this.members = config.members();
-        this.polling = config.settings().askForList();
+        this.polling = config.settings().pollsList();
         this.connectTimeoutMs = Math.min(config.connectTimeoutMs(), DiscoveryTimeouts.CONNECT_TIMEOUT_MS);
         this.maxReconnectDelayMs =
                 (long) Math.min(MAX_RECONNECT_DELAY_MS, RECONNECT_DELAY_FRACTION * config.drainGraceMs());
--- a/sidecar/src/main/java/gradehub/node/Engine.java
+++ b/sidecar/src/main/java/gradehub/node/Engine.java
@@ -80,7 +80,7 @@
     private record ClientLeft(Balancer balancer, int request) implements DoubleConsumer {
         @Override
         public void accept(double nowMs) {
-            balancer.clientLeft(nowMs, request);
+            balancer.clientDisconnected(nowMs, request);
         }
     }
 
@@ -115,7 +115,7 @@
         this.slackMs = config.answerSlackMs();
         this.upstreams = new Upstreams(loop, clock, config, sockets, channelFactory, this);
         this.balancer = balancerFactory.apply(this);
-        this.balancer.clientRoom(sockets.maxConcurrentRequests());
+        this.balancer.setMaxClientRequests(sockets.maxConcurrentRequests());
     }
 
     void start(ListSource listSource) {
@@ -164,7 +164,7 @@
         return exchange;
     }
 
-    void clientLeft(Exchange exchange) {
+    void clientDisconnected(Exchange exchange) {
         if (!exchange.closed) {
             close(exchange);
             notifyClientLeft(exchange);
@@ -179,7 +179,7 @@
     public boolean canStillSend(Upstreams.Attempt attempt) {
         Exchange exchange = attempt.exchange;
         if (exchange.client.isDisconnected()) {
-            clientLeft(exchange);
+            clientDisconnected(exchange);
         }
         return !exchange.closed && isSafeToSend(attempt);
     }
--- a/sidecar/src/test/java/gradehub/ClassStatsTest.java
+++ b/sidecar/src/test/java/gradehub/ClassStatsTest.java
@@ -17,8 +17,8 @@
     private final ClassStats stats =
             new ClassStats(TestSettings.requestClass(Effect.SAFE, Group.ALL, 1), TestSettings.TICK_MS);
 
-    private double elapsedMs(double nowMs, double timeoutMs, boolean repeat, boolean repeatsMarked) {
-        return stats.elapsedMs(nowMs, new Balancer.Request(1, 0, 0, timeoutMs, repeat, 0), repeatsMarked);
+    private double elapsedMs(double nowMs, double timeoutMs, boolean retry, boolean retriesMarked) {
+        return stats.elapsedMs(nowMs, new Balancer.Request(1, 0, 0, timeoutMs, retry, 0), retriesMarked);
     }
 
     private void recordAnswers(int count, double latencyMs) {
--- a/sidecar/src/test/java/gradehub/FakeSidecar.java
+++ b/sidecar/src/test/java/gradehub/FakeSidecar.java
@@ -163,7 +163,7 @@
 
     void disconnectClient(int request) {
         requests.get(request).ended = true;
-        balancer.clientLeft(now, request);
+        balancer.clientDisconnected(now, request);
     }
 
     /** Advances the clock and fires the timers and timeouts that fall due. */
--- a/sidecar/src/test/java/gradehub/NoOpBalancer.java
+++ b/sidecar/src/test/java/gradehub/NoOpBalancer.java
@@ -21,7 +21,7 @@
     public void attemptEnded(double nowMs, AttemptEnd end) {}
 
     @Override
-    public void clientLeft(double nowMs, int request) {}
+    public void clientDisconnected(double nowMs, int request) {}
 
     @Override
     public void timer(double nowMs, int token) {}
--- a/sidecar/src/test/java/gradehub/RetryPolicyTest.java
+++ b/sidecar/src/test/java/gradehub/RetryPolicyTest.java
@@ -131,11 +131,11 @@
 
     @Test
     void isSafeToRepeatOnlyIfNothingUnsafeCanRunTwice() {
-        assertTrue(retries.isSafeToRepeat(callWithAttempt(Effect.SAFE, Group.ZONE, Outcome.TIMEOUT)));
-        assertTrue(retries.isSafeToRepeat(callWithAttempt(Effect.KEYED, Group.ALL, Outcome.TIMEOUT)));
-        assertFalse(retries.isSafeToRepeat(callWithAttempt(Effect.KEYED, Group.ZONE, Outcome.TIMEOUT)));
-        assertFalse(retries.isSafeToRepeat(callWithAttempt(Effect.UNSAFE, Group.ALL, Outcome.TIMEOUT)));
-        assertTrue(retries.isSafeToRepeat(callWithAttempt(Effect.UNSAFE, Group.ALL, Outcome.CONNECT_FAILED)));
-        assertTrue(retries.isSafeToRepeat(call(Effect.UNSAFE, Group.ALL)));
+        assertTrue(retries.isSafeToRetry(callWithAttempt(Effect.SAFE, Group.ZONE, Outcome.TIMEOUT)));
+        assertTrue(retries.isSafeToRetry(callWithAttempt(Effect.KEYED, Group.ALL, Outcome.TIMEOUT)));
+        assertFalse(retries.isSafeToRetry(callWithAttempt(Effect.KEYED, Group.ZONE, Outcome.TIMEOUT)));
+        assertFalse(retries.isSafeToRetry(callWithAttempt(Effect.UNSAFE, Group.ALL, Outcome.TIMEOUT)));
+        assertTrue(retries.isSafeToRetry(callWithAttempt(Effect.UNSAFE, Group.ALL, Outcome.CONNECT_FAILED)));
+        assertTrue(retries.isSafeToRetry(call(Effect.UNSAFE, Group.ALL)));
     }
 }
--- a/sidecar/src/test/java/gradehub/RulesTest.java
+++ b/sidecar/src/test/java/gradehub/RulesTest.java
@@ -140,8 +140,8 @@
         sidecar.end(attempt, Outcome.OK);
         int before = sidecar.actions.size();
         sidecar.end(attempt, Outcome.ERROR);
-        sidecar.balancer.clientLeft(sidecar.now, request);
-        sidecar.balancer.clientLeft(sidecar.now, 999);
+        sidecar.balancer.clientDisconnected(sidecar.now, request);
+        sidecar.balancer.clientDisconnected(sidecar.now, 999);
         sidecar.balancer.attemptEnded(
                 sidecar.now, new Balancer.AttemptEnd(999, 0, 1, Outcome.OK, 1, true, new double[0]));
         sidecar.balancer.streamStarted(sidecar.now, 999, 0, 1);
--- a/sidecar/src/test/java/gradehub/SubscriptionTest.java
+++ b/sidecar/src/test/java/gradehub/SubscriptionTest.java
@@ -34,9 +34,9 @@
             delays.add(sidecar.now - from);
             for (int i = 0; i < 10; i++) {
                 sidecar.updateList(ListKind.FAILED);
-                sidecar.advance(sidecar.settings.contract().askEveryMs() / 2);
+                sidecar.advance(sidecar.settings.contract().listIntervalMs() / 2);
             }
-            assertEquals(12, sidecar.subscriptions, "subscribes again within half of askEveryMs");
+            assertEquals(12, sidecar.subscriptions, "subscribes again within half of the list interval");
         }
         assertTrue(delays.stream().distinct().count() > 10, "delays are spread: " + delays);
         assertTrue(
--- a/sidecar/src/test/java/gradehub/node/EngineTest.java
+++ b/sidecar/src/test/java/gradehub/node/EngineTest.java
@@ -94,7 +94,7 @@
         List<Integer> left = new CopyOnWriteArrayList<>();
         Engine engine = engine(actions -> new NoOpBalancer() {
             @Override
-            public void clientLeft(double nowMs, int request) {
+            public void clientDisconnected(double nowMs, int request) {
                 left.add(request);
             }
         });
