--- a/scale/src/main/java/gradehub/scale/model/ColdStart.java
+++ b/scale/src/main/java/gradehub/scale/model/ColdStart.java
@@ -4,9 +4,10 @@
 import java.util.ArrayDeque;
 
 /**
- * What a started upstream can do, and what it can take. Its capacity rises evenly from the cold part to the whole. With
- * N the requests of mean work that are {@code overloadFactor} times its present capacity over the span in question, it
- * falls over when more than N + 2 sqrt(N) + 2 reach it within a span.
+ * The capacity of an upstream after its start, and the load at which it crashes. Capacity rises linearly from
+ * {@code coldFrom} to 1. Let N be {@code overloadFactor} times the number of requests of mean work that can be served
+ * in a window at the capacity of its first arrival. The upstream crashes when more than N + 2 sqrt(N) + 2 arrive within
+ * the window; the excess over N allows for random variation.
  */
 final class ColdStart {
 
@@ -14,49 +15,52 @@
 
     private final UpstreamModel model;
     private final double warmRequestsPerMicro;
-    private final long coldMicros;
-    private final long spanMicros;
+    private final long coldDurationMicros;
+    private final long windowMicros;
     private final ArrayDeque<Arrival> arrivals = new ArrayDeque<>();
-    private double inSpan;
+    private double requestsInWindow;
     private long startedMicros;
-    private long warmMicros;
+    private long warmFromMicros;
 
     ColdStart(UpstreamModel model, double warmRequestsPerMicro) {
         this.model = model;
         this.warmRequestsPerMicro = warmRequestsPerMicro;
-        this.coldMicros = model.coldMillis() * SimulationContext.MICROS_PER_MILLI;
-        this.spanMicros = model.overloadWindowMillis() * SimulationContext.MICROS_PER_MILLI;
+        this.coldDurationMicros = model.coldMillis() * SimulationContext.MICROS_PER_MILLI;
+        this.windowMicros = model.overloadWindowMillis() * SimulationContext.MICROS_PER_MILLI;
     }
 
-    /** A process starts, cold. */
+    /** A new process has started and is cold. */
     void start(long nowMicros) {
         startedMicros = nowMicros;
-        warmMicros = nowMicros + coldMicros;
+        warmFromMicros = nowMicros + coldDurationMicros;
         arrivals.clear();
-        inSpan = 0;
+        requestsInWindow = 0;
     }
 
     boolean isCold(long nowMicros) {
-        return nowMicros < warmMicros;
+        return nowMicros < warmFromMicros;
     }
 
-    /** The part of its whole capacity that it has now. */
-    double capacity(long nowMicros) {
+    /** The current capacity as a fraction of that of a warm upstream. */
+    double capacityFraction(long nowMicros) {
         if (!isCold(nowMicros)) {
             return 1;
         }
-        return model.coldFrom() + (1 - model.coldFrom()) * (nowMicros - startedMicros) / coldMicros;
+        return model.coldFrom() + (1 - model.coldFrom()) * (nowMicros - startedMicros) / coldDurationMicros;
     }
 
-    /** Counts a request of this size, in mean ones, and tells the load of the latest span against what it can take. */
-    double count(long nowMicros, double requests) {
+    /**
+     * Records a request, whose size is given in requests of mean work. Returns the load of the latest window divided by
+     * the limit; above 1 the upstream crashes.
+     */
+    double recordArrival(long nowMicros, double requests) {
         arrivals.add(new Arrival(nowMicros, requests));
-        inSpan += requests;
-        while (nowMicros - arrivals.peek().atMicros() > spanMicros) {
-            inSpan -= arrivals.poll().requests();
+        requestsInWindow += requests;
+        while (nowMicros - arrivals.peek().atMicros() > windowMicros) {
+            requestsInWindow -= arrivals.poll().requests();
         }
-        double present = capacity(arrivals.peek().atMicros()) * warmRequestsPerMicro;
-        double budget = model.overloadFactor() * present * spanMicros;
-        return inSpan / (budget + 2 * Math.sqrt(budget) + 2);
+        double requestsPerMicro = capacityFraction(arrivals.peek().atMicros()) * warmRequestsPerMicro;
+        double nominalLimit = model.overloadFactor() * requestsPerMicro * windowMicros;
+        return requestsInWindow / (nominalLimit + 2 * Math.sqrt(nominalLimit) + 2);
     }
 }
--- a/scale/src/main/java/gradehub/scale/model/Figures.java
+++ b/scale/src/main/java/gradehub/scale/model/Figures.java
@@ -9,32 +9,32 @@
 import java.util.function.ToLongFunction;
 import org.HdrHistogram.Histogram;
 
-/** Turns what was counted into named figures. */
+/** Computes the named figures of a run, and its rows, from the measurements. */
 final class Figures {
 
-    private static final double MICROS = 1e6;
+    private static final double MICROS_PER_SECOND = 1e6;
 
     private final SimulationContext context;
     private final Measurements measurements;
-    private final double seconds;
+    private final double measuredSeconds;
     private final List<RunResult.Figure> figures = new ArrayList<>();
 
     private Figures(SimulationContext context) {
         this.context = context;
         this.measurements = context.measurements;
-        double passed = context.queue.nowMicros() / MICROS - context.experiment.warmupSeconds();
-        this.seconds = Math.max(1 / MICROS, passed);
+        double elapsedSeconds = context.queue.nowMicros() / MICROS_PER_SECOND - context.experiment.warmupSeconds();
+        this.measuredSeconds = Math.max(1 / MICROS_PER_SECOND, elapsedSeconds);
     }
 
     static RunResult compute(SimulationContext context, boolean complete) {
         Figures figures = new Figures(context);
-        figures.calls();
-        figures.attempts();
-        figures.distances();
-        figures.spreads();
-        figures.zones();
-        figures.listService();
-        figures.cold();
+        figures.addCalls();
+        figures.addAttempts();
+        figures.addDistances();
+        figures.addSpreads();
+        figures.addZoneLoads();
+        figures.addListService();
+        figures.addColdLoad();
         return new RunResult(
                 context.experiment.name(),
                 context.topology.machines.size(),
@@ -49,16 +49,16 @@
         figures.add(new RunResult.Figure(name, value, unit));
     }
 
-    private void calls() {
-        add("measured-time", seconds, "s");
+    private void addCalls() {
+        add("measured-time", measuredSeconds, "s");
         add("services", context.topology.services.size(), "1");
-        add("calls", sum(measurements.callsByLayer) / seconds, "1/s");
-        add("root-calls", measurements.rootOffered / seconds, "1/s");
+        add("calls", sum(measurements.callsByLayer) / measuredSeconds, "1/s");
+        add("root-calls", measurements.rootOffered / measuredSeconds, "1/s");
         add("root-served-part", ratio(measurements.rootServed, measurements.rootServed + measurements.rootFailed), "1");
         add("root-latency-p50", measurements.rootLatency.getValueAtPercentile(50) / 1000.0, "ms");
         add("root-latency-p99", measurements.rootLatency.getValueAtPercentile(99) / 1000.0, "ms");
         add("root-latency-p99.9", measurements.rootLatency.getValueAtPercentile(99.9) / 1000.0, "ms");
-        add("repeated-tries", measurements.retries / seconds, "1/s");
+        add("repeated-tries", measurements.retries / measuredSeconds, "1/s");
         add("answers-after-deadline", measurements.lateAnswers, "1");
         for (ApplicationCall.Answer answer : ApplicationCall.Answer.values()) {
             String name = answer.name().toLowerCase(Locale.ROOT);
@@ -70,15 +70,15 @@
         add("sidecar-answers-unsent", ratio(measurements.answersWithoutAttempt, sum(measurements.answers)), "1");
     }
 
-    private void attempts() {
+    private void addAttempts() {
         int hops = measurements.attemptsArrivedByLayer.length - 1;
         double callsPerRequest = context.experiment.calls().callsPerRequest();
-        add("attempts", sum(measurements.attemptsSentByLayer) / seconds, "1/s");
+        add("attempts", sum(measurements.attemptsSentByLayer) / measuredSeconds, "1/s");
         add("attempts-per-call", ratio(sum(measurements.attemptsSentByLayer), sum(measurements.callsByLayer)), "1");
         double plannedLeaves = measurements.rootOffered * Math.pow(callsPerRequest, hops);
         add("leaf-attempts-per-planned", measurements.attemptsArrivedByLayer[hops] / Math.max(1, plannedLeaves), "1");
-        double plannedPerSecond = plannedLeaves / seconds;
-        add("leaf-attempts-most-in-a-second", ratio(most(row -> row.leafAttempts), plannedPerSecond), "1");
+        double plannedPerSecond = plannedLeaves / measuredSeconds;
+        add("leaf-attempts-most-in-a-second", ratio(maxPerSecond(row -> row.leafAttempts), plannedPerSecond), "1");
         for (int layer = 1; layer <= hops; layer++) {
             double planned = measurements.rootOffered * Math.pow(callsPerRequest, layer);
             add(
@@ -93,7 +93,7 @@
         add("module-log-lines", measurements.moduleLogLines, "1");
     }
 
-    private void distances() {
+    private void addDistances() {
         for (Network.Distance distance : Network.Distance.values()) {
             String name = distance.name().toLowerCase(Locale.ROOT).replace('_', '-');
             add(
@@ -105,75 +105,78 @@
         }
     }
 
-    /** By the size of services: up to ten upstreams each sidecar's subset holds all of them, beyond that a part. */
-    private void spreads() {
-        int[] largest = {5, 10, Integer.MAX_VALUE};
-        String[] names = {"up-to-5", "6-to-10", "over-10"};
-        int smallest = 1;
-        for (int i = 0; i < largest.length; i++) {
-            DoubleSummaryStatistics ofSize = new DoubleSummaryStatistics();
+    /**
+     * Adds the spread by service size: a sidecar's subset holds all upstreams of a service with at most ten, but only a
+     * part of a larger one.
+     */
+    private void addSpreads() {
+        int[] maxSizes = {5, 10, Integer.MAX_VALUE};
+        String[] sizeRanges = {"up-to-5", "6-to-10", "over-10"};
+        int minSize = 1;
+        for (int i = 0; i < maxSizes.length; i++) {
+            DoubleSummaryStatistics spreads = new DoubleSummaryStatistics();
             for (Topology.Service service : context.topology.services) {
                 int size = service.machines().size();
-                if (service.layer() > 0 && size >= smallest && size <= largest[i]) {
-                    ofSize.accept(spread(service));
+                if (service.layer() > 0 && size >= minSize && size <= maxSizes[i]) {
+                    spreads.accept(spread(service));
                 }
             }
-            add("spread-mean-" + names[i], ofSize.getAverage(), "1");
-            add("spread-most-" + names[i], Math.max(0, ofSize.getMax()), "1");
-            smallest = largest[i] + 1;
+            add("spread-mean-" + sizeRanges[i], spreads.getAverage(), "1");
+            add("spread-most-" + sizeRanges[i], Math.max(0, spreads.getMax()), "1");
+            minSize = maxSizes[i] + 1;
         }
     }
 
-    /** What an upstream of a zone is sent over what one of the same service is sent in the mean. */
-    private void zones() {
-        double[] loads = new double[context.topology.zones.size()];
-        int[] machines = new int[loads.length];
+    /** Adds the mean load of a zone's upstreams, each relative to the mean of all upstreams of its service. */
+    private void addZoneLoads() {
+        double[] relativeLoads = new double[context.topology.zones.size()];
+        int[] machines = new int[relativeLoads.length];
         for (Topology.Service service : context.topology.services) {
-            double mean = arrived(service) / service.machines().size();
+            double mean = attemptsArrived(service) / service.machines().size();
             if (service.layer() > 0 && mean > 0) {
                 for (Topology.Machine machine : service.machines()) {
-                    loads[machine.zone()] += measurements.attemptsArrivedByMachine[machine.number()] / mean;
+                    relativeLoads[machine.zone()] += measurements.attemptsArrivedByMachine[machine.number()] / mean;
                     machines[machine.zone()]++;
                 }
             }
         }
         for (Topology.Zone zone : context.topology.zones) {
-            add("zone-load-" + zone.name(), ratio(loads[zone.number()], machines[zone.number()]), "1");
+            add("zone-load-" + zone.name(), ratio(relativeLoads[zone.number()], machines[zone.number()]), "1");
         }
     }
 
-    private void listService() {
+    private void addListService() {
         int sidecars = context.sidecars.size();
-        add("list-calls", measurements.listCalls / seconds, "1/s");
-        add("list-calls-failed", measurements.listCallsFailed / seconds, "1/s");
-        add("list-calls-most-in-a-second", most(row -> row.listCalls), "1/s");
-        add("list-bytes-in", measurements.listBytesIn / seconds, "B/s");
-        add("list-bytes-out", measurements.listBytesOut / seconds, "B/s");
-        add("list-bytes-out-most-in-a-second", most(row -> row.listBytesOut), "B/s");
+        add("list-calls", measurements.listCalls / measuredSeconds, "1/s");
+        add("list-calls-failed", measurements.listCallsFailed / measuredSeconds, "1/s");
+        add("list-calls-most-in-a-second", maxPerSecond(row -> row.listCalls), "1/s");
+        add("list-bytes-in", measurements.listBytesIn / measuredSeconds, "B/s");
+        add("list-bytes-out", measurements.listBytesOut / measuredSeconds, "B/s");
+        add("list-bytes-out-most-in-a-second", maxPerSecond(row -> row.listBytesOut), "B/s");
         add(
                 "list-bytes-per-sidecar",
-                (measurements.listBytesIn + measurements.listBytesOut) / seconds / sidecars,
+                (measurements.listBytesIn + measurements.listBytesOut) / measuredSeconds / sidecars,
                 "B/s");
-        add("list-changes", measurements.listChanges / seconds, "1/s");
-        add("list-whole-lists", measurements.listWholeLists / seconds, "1/s");
-        add("list-busy-part", measurements.listBusyMicros / MICROS / seconds, "1");
+        add("list-changes", measurements.listChanges / measuredSeconds, "1/s");
+        add("list-whole-lists", measurements.listWholeLists / measuredSeconds, "1/s");
+        add("list-busy-part", measurements.listBusyMicros / MICROS_PER_SECOND / measuredSeconds, "1");
         add("list-longest-backlog", measurements.listLongestBacklogMicros / 1000.0, "ms");
-        delays("told", measurements.changeDelays);
-        delays("restored", measurements.restoreDelays);
-        delays("configured", measurements.moveDelays);
-        long current = context.sidecars.stream()
+        addDelays("told", measurements.changeDelays);
+        addDelays("restored", measurements.restoreDelays);
+        addDelays("configured", measurements.moveDelays);
+        long activeWatches = context.sidecars.stream()
                 .filter(sidecar -> sidecar.isRunning() && sidecar.listClient().hasActiveWatch())
                 .count();
-        add("sidecars-with-watch-at-end", current, "1");
+        add("sidecars-with-watch-at-end", activeWatches, "1");
     }
 
-    private void delays(String name, Histogram histogram) {
+    private void addDelays(String name, Histogram histogram) {
         add(name + "-count", histogram.getTotalCount(), "1");
         add(name + "-p50", histogram.getValueAtPercentile(50) / 1000.0, "ms");
         add(name + "-last", histogram.getMaxValue() / 1000.0, "ms");
     }
 
-    private void cold() {
+    private void addColdLoad() {
         add("cold-load-most", measurements.maxColdLoad, "1");
         add("cold-attempts", measurements.coldAttempts, "1");
         add("cold-falls", measurements.coldFailures, "1");
@@ -181,8 +184,8 @@
 
     private List<RunResult.Second> secondRows() {
         List<RunResult.Second> rows = new ArrayList<>();
-        for (int i = 0; i < measurements.seconds.length - 1; i++) {
-            Measurements.SecondRow row = measurements.seconds[i];
+        for (int i = 0; i < measurements.secondRows.length - 1; i++) {
+            Measurements.SecondRow row = measurements.secondRows[i];
             rows.add(new RunResult.Second(
                     i,
                     row.rootOffered,
@@ -193,8 +196,8 @@
                     row.listCallsFailed,
                     row.listBytesIn,
                     row.listBytesOut,
-                    row.restored,
-                    row.configured));
+                    row.watchesRestored,
+                    row.listServiceMoves));
         }
         return rows;
     }
@@ -204,7 +207,7 @@
         for (Topology.Service service : context.topology.services) {
             if (service.layer() > 0) {
                 int upstreams = service.machines().size();
-                double perUpstream = arrived(service) / seconds / upstreams;
+                double perUpstream = attemptsArrived(service) / measuredSeconds / upstreams;
                 rows.add(new RunResult.ServiceLoad(
                         service.number(),
                         service.layer(),
@@ -217,7 +220,7 @@
         return rows;
     }
 
-    private double arrived(Topology.Service service) {
+    private double attemptsArrived(Topology.Service service) {
         double sum = 0;
         for (Topology.Machine machine : service.machines()) {
             sum += measurements.attemptsArrivedByMachine[machine.number()];
@@ -225,22 +228,23 @@
         return sum;
     }
 
-    /** The load of a service's busiest upstream over the mean of its upstreams. */
+    /** The load of a service's busiest upstream divided by the mean load of its upstreams. */
     private double spread(Topology.Service service) {
-        double most = 0;
+        double max = 0;
         for (Topology.Machine machine : service.machines()) {
-            most = Math.max(most, measurements.attemptsArrivedByMachine[machine.number()]);
+            max = Math.max(max, measurements.attemptsArrivedByMachine[machine.number()]);
         }
-        double mean = arrived(service) / service.machines().size();
-        return mean == 0 ? 0 : most / mean;
+        double mean = attemptsArrived(service) / service.machines().size();
+        return mean == 0 ? 0 : max / mean;
     }
 
-    private double most(ToLongFunction<Measurements.SecondRow> figure) {
-        long most = 0;
-        for (int i = (int) context.experiment.warmupSeconds(); i < measurements.seconds.length; i++) {
-            most = Math.max(most, figure.applyAsLong(measurements.seconds[i]));
+    /** The highest count of a second since the end of the warm-up. */
+    private double maxPerSecond(ToLongFunction<Measurements.SecondRow> count) {
+        long max = 0;
+        for (int i = (int) context.experiment.warmupSeconds(); i < measurements.secondRows.length; i++) {
+            max = Math.max(max, count.applyAsLong(measurements.secondRows[i]));
         }
-        return most;
+        return max;
     }
 
     private static double ratio(double part, double whole) {
--- a/scale/src/main/java/gradehub/scale/model/Measurements.java
+++ b/scale/src/main/java/gradehub/scale/model/Measurements.java
@@ -4,10 +4,13 @@
 import gradehub.scale.experiment.Experiment;
 import org.HdrHistogram.Histogram;
 
-/** What is counted during a run. Figures count from the end of the warm-up; rows of seconds cover the whole run. */
+/**
+ * Counters and histograms of a run. They start at the end of the warm-up unless noted otherwise; the rows of seconds
+ * cover the whole run.
+ */
 final class Measurements {
 
-    private static final int DIGITS = 3;
+    private static final int SIGNIFICANT_DIGITS = 3;
 
     private final long warmupEndMicros;
     private final int[] layerOfMachine;
@@ -19,17 +22,22 @@
     final long[] attemptsSentByDistance = new long[Network.Distance.values().length];
     final long[] answers = new long[ApplicationCall.Answer.values().length];
     final long[] outcomes = new long[Outcome.values().length];
-    final SecondRow[] seconds;
+    final SecondRow[] secondRows;
     long rootOffered;
     long rootServed;
     long rootFailed;
     long retries;
+    /** Calls of the whole run, those of the warm-up included. */
     long totalCalls;
+
+    /** Answers of sidecars after the deadline of the request. */
     long lateAnswers;
-    /** Requests that sidecars have answered without an attempt. */
+    /** Requests that a sidecar answered without sending an attempt. */
     long answersWithoutAttempt;
 
+    /** Log lines of the balancing modules in the whole run. */
     long moduleLogLines;
+
     long listCalls;
     long listCallsFailed;
     long listBytesIn;
@@ -38,15 +46,19 @@
     long listChanges;
     long listBusyMicros;
     long listLongestBacklogMicros;
+    /** Attempts that reached a cold upstream in the whole run. */
     long coldAttempts;
+    /** Cold upstreams that failed under overload in the whole run. */
     long coldFailures;
+    /** Highest load of a cold upstream in the whole run, relative to the most that it can take. */
     double maxColdLoad;
-    final Histogram rootLatency = new Histogram(DIGITS);
-    final Histogram changeDelays = new Histogram(DIGITS);
-    final Histogram restoreDelays = new Histogram(DIGITS);
-    final Histogram moveDelays = new Histogram(DIGITS);
 
-    /** What one simulated second has seen. */
+    final Histogram rootLatency = new Histogram(SIGNIFICANT_DIGITS);
+    final Histogram changeDelays = new Histogram(SIGNIFICANT_DIGITS);
+    final Histogram restoreDelays = new Histogram(SIGNIFICANT_DIGITS);
+    final Histogram moveDelays = new Histogram(SIGNIFICANT_DIGITS);
+
+    /** Counts of one simulated second. */
     static final class SecondRow {
         long rootOffered;
         long rootServed;
@@ -56,8 +68,8 @@
         long listCallsFailed;
         long listBytesIn;
         long listBytesOut;
-        long restored;
-        long configured;
+        long watchesRestored;
+        long listServiceMoves;
     }
 
     Measurements(Experiment experiment, Topology topology) {
@@ -70,9 +82,9 @@
         this.layerOfMachine = topology.machines.stream()
                 .mapToInt(machine -> topology.services.get(machine.service()).layer())
                 .toArray();
-        this.seconds = new SecondRow[(int) Math.ceil(experiment.totalSeconds()) + 1];
-        for (int i = 0; i < seconds.length; i++) {
-            seconds[i] = new SecondRow();
+        this.secondRows = new SecondRow[(int) Math.ceil(experiment.totalSeconds()) + 1];
+        for (int i = 0; i < secondRows.length; i++) {
+            secondRows[i] = new SecondRow();
         }
     }
 
@@ -80,19 +92,24 @@
         return nowMicros >= warmupEndMicros;
     }
 
-    private SecondRow second(long nowMicros) {
-        return seconds[(int) Math.min(seconds.length - 1, nowMicros / SimulationContext.MICROS_PER_SECOND)];
+    /** Returns the row of this time; times after the end of the run go to an additional last row. */
+    private SecondRow rowAt(long nowMicros) {
+        return secondRows[(int) Math.min(secondRows.length - 1, nowMicros / SimulationContext.MICROS_PER_SECOND)];
     }
 
-    // ---- Calls.
+    // Calls and attempts.
 
     void rootCallStarted(long nowMicros) {
-        second(nowMicros).rootOffered++;
+        rowAt(nowMicros).rootOffered++;
         rootOffered += isAfterWarmup(nowMicros) ? 1 : 0;
     }
 
+    /**
+     * A root call has ended. It counts only if its intended start, from which its latency is measured, lies after the
+     * warm-up.
+     */
     void rootCallEnded(long nowMicros, long intendedMicros, boolean served) {
-        second(nowMicros).rootServed += served ? 1 : 0;
+        rowAt(nowMicros).rootServed += served ? 1 : 0;
         if (!isAfterWarmup(intendedMicros)) {
             return;
         }
@@ -103,19 +120,19 @@
         }
     }
 
-    /** An application calls the next layer. */
+    /** An application on this machine calls the next layer. */
     void callStarted(long nowMicros, Topology.Machine from) {
         totalCalls++;
         callsByLayer[layerOfMachine[from.number()] + 1] += isAfterWarmup(nowMicros) ? 1 : 0;
     }
 
-    /** A client makes a further try. */
+    /** A client repeats a call through its sidecar. */
     void callRetried(long nowMicros) {
         retries += isAfterWarmup(nowMicros) ? 1 : 0;
     }
 
     void attemptSent(long nowMicros, Topology.Machine target, Network.Distance distance) {
-        second(nowMicros).attempts++;
+        rowAt(nowMicros).attempts++;
         if (isAfterWarmup(nowMicros)) {
             attemptsSentByLayer[layerOfMachine[target.number()]]++;
             attemptsSentByDistance[distance.ordinal()]++;
@@ -124,7 +141,7 @@
 
     void attemptArrived(long nowMicros, Topology.Machine machine) {
         int layer = layerOfMachine[machine.number()];
-        second(nowMicros).leafAttempts += layer == attemptsArrivedByLayer.length - 1 ? 1 : 0;
+        rowAt(nowMicros).leafAttempts += layer == attemptsArrivedByLayer.length - 1 ? 1 : 0;
         if (isAfterWarmup(nowMicros)) {
             attemptsArrivedByLayer[layer]++;
             attemptsArrivedByMachine[machine.number()]++;
@@ -135,7 +152,12 @@
         outcomes[outcome.ordinal()] += isAfterWarmup(nowMicros) ? 1 : 0;
     }
 
-    /** A sidecar has answered, this long after the deadline; {@code sent} tells whether it has made an attempt. */
+    /**
+     * A sidecar has answered a request.
+     *
+     * @param lateMicros time since the deadline, negative for an answer before it
+     * @param sent whether the sidecar sent an attempt for the request
+     */
     void requestAnswered(long nowMicros, long lateMicros, ApplicationCall.Answer answer, boolean sent) {
         if (isAfterWarmup(nowMicros)) {
             lateAnswers += lateMicros > 0 ? 1 : 0;
@@ -148,7 +170,7 @@
         moduleLogLines++;
     }
 
-    /** An attempt has reached a cold upstream, which now bears this load against what it can take. */
+    /** An attempt has reached a cold upstream; above a load of 1 the upstream fails. */
     void coldAttemptArrived(double load) {
         coldAttempts++;
         maxColdLoad = Math.max(maxColdLoad, load);
@@ -158,31 +180,31 @@
         coldFailures++;
     }
 
-    // ---- The list service.
+    // List service.
 
     void listCallReceived(long nowMicros, int bytes) {
-        SecondRow second = second(nowMicros);
-        second.listCalls++;
-        second.listBytesIn += bytes;
+        SecondRow row = rowAt(nowMicros);
+        row.listCalls++;
+        row.listBytesIn += bytes;
         listCalls += isAfterWarmup(nowMicros) ? 1 : 0;
         listBytesIn += isAfterWarmup(nowMicros) ? bytes : 0;
     }
 
     void listCallFailed(long nowMicros, int bytes) {
-        second(nowMicros).listCallsFailed++;
-        second(nowMicros).listBytesOut += bytes;
+        rowAt(nowMicros).listCallsFailed++;
+        rowAt(nowMicros).listBytesOut += bytes;
         listCallsFailed += isAfterWarmup(nowMicros) ? 1 : 0;
         listBytesOut += isAfterWarmup(nowMicros) ? bytes : 0;
     }
 
-    void listMessageWritten(long nowMicros, int bytes, boolean whole) {
-        second(nowMicros).listBytesOut += bytes;
+    void listMessageWritten(long nowMicros, int bytes, boolean fullList) {
+        rowAt(nowMicros).listBytesOut += bytes;
         listBytesOut += isAfterWarmup(nowMicros) ? bytes : 0;
-        listWholeLists += isAfterWarmup(nowMicros) && whole ? 1 : 0;
+        listWholeLists += isAfterWarmup(nowMicros) && fullList ? 1 : 0;
     }
 
     void listKeepAliveWritten(long nowMicros, int bytes) {
-        second(nowMicros).listBytesOut += bytes;
+        rowAt(nowMicros).listBytesOut += bytes;
         listBytesOut += isAfterWarmup(nowMicros) ? bytes : 0;
     }
 
@@ -193,29 +215,31 @@
         }
     }
 
-    /** An entry of the list changes. */
     void listEntryChanged(long nowMicros) {
         listChanges += isAfterWarmup(nowMicros) ? 1 : 0;
     }
 
-    /** A sidecar is told of a change, this long after it was there and could be asked for. */
+    /**
+     * A sidecar has received a list change. The delay starts with the change or, if later, when the list service became
+     * reachable.
+     */
     void listChangeReceived(long nowMicros, long delayMicros) {
         if (isAfterWarmup(nowMicros)) {
             changeDelays.recordValue(delayMicros);
         }
     }
 
-    /** A sidecar that had lost its watch has one again, this long after the list service could be reached. */
+    /** A sidecar that had lost its watch has one again, this long after the list service became reachable. */
     void watchRestored(long nowMicros, long delayMicros) {
-        second(nowMicros).restored++;
+        rowAt(nowMicros).watchesRestored++;
         if (isAfterWarmup(nowMicros)) {
             restoreDelays.recordValue(delayMicros);
         }
     }
 
-    /** A sidecar has the list of another list service, this long after it was told to use that. */
+    /** A sidecar has the list of a newly configured list service, this long after the change of its configuration. */
     void listServiceMoved(long nowMicros, long delayMicros) {
-        second(nowMicros).configured++;
+        rowAt(nowMicros).listServiceMoves++;
         if (isAfterWarmup(nowMicros)) {
             moveDelays.recordValue(delayMicros);
         }
--- a/scale/src/main/java/gradehub/scale/model/ServiceClient.java
+++ b/scale/src/main/java/gradehub/scale/model/ServiceClient.java
@@ -13,21 +13,22 @@
 import java.util.Map;
 
 /**
- * The part of a sidecar that calls one service: hosts one decision module, tells it what happens and does what it asks
- * for. As the module acts during its call, all that its actions bring about goes through the event queue.
+ * The part of a sidecar that calls one service. Hosts one balancer: reports events to it and carries out its actions.
+ * The balancer acts while it handles an event, so events that result from its actions are put on the event queue and
+ * never reported back during that call.
  */
 final class ServiceClient implements Balancer.Actions {
 
-    /** A request in hand: until it is answered and each of its attempts has ended. */
-    static final class Exchange {
+    /** A request that is not yet answered or still has attempts in flight. */
+    static final class OpenRequest {
         final int id;
         final ApplicationCall call;
         final long deadlineMicros;
         final List<Attempt> attempts = new ArrayList<>(2);
-        int out;
-        boolean over;
+        int attemptsInFlight;
+        boolean answered;
 
-        Exchange(int id, ApplicationCall call, long deadlineMicros) {
+        OpenRequest(int id, ApplicationCall call, long deadlineMicros) {
             this.id = id;
             this.call = call;
             this.deadlineMicros = deadlineMicros;
@@ -40,9 +41,9 @@
     private final SimulatedSidecar sidecar;
     private final int maxAttempts;
     private final Balancer balancer;
-    private final Map<Integer, Exchange> exchanges = new HashMap<>();
-    private int lastRequest;
-    private boolean live = true;
+    private final Map<Integer, OpenRequest> openRequests = new HashMap<>();
+    private int lastRequestId;
+    private boolean running = true;
 
     ServiceClient(SimulationContext context, SimulatedSidecar sidecar, Balancer.Settings settings, long seed) {
         this.context = context;
@@ -51,7 +52,6 @@
         this.balancer = new LoadShiftingBalancer(settings, seed, this);
     }
 
-    /** The decision module. */
     Balancer balancer() {
         return balancer;
     }
@@ -60,142 +60,143 @@
         balancer.start(SimulationContext.toMillis(nowMicros));
     }
 
-    /** The sidecar's process has ended: nothing is told any more. */
+    /** The sidecar's process has ended: no further events are reported to the balancer. */
     void stop() {
-        live = false;
-        exchanges.clear();
+        running = false;
+        openRequests.clear();
     }
 
-    void listed(long nowMicros, ListKind kind, List<Upstream> entries) {
+    void updateUpstreams(long nowMicros, ListKind kind, List<Upstream> entries) {
         balancer.upstreams(SimulationContext.toMillis(nowMicros), kind, entries);
     }
 
-    void request(long nowMicros, ApplicationCall call, long deadlineMicros, boolean repeat) {
-        Exchange exchange = new Exchange(++lastRequest, call, deadlineMicros);
-        exchanges.put(exchange.id, exchange);
+    void handleRequest(long nowMicros, ApplicationCall call, long deadlineMicros, boolean retry) {
+        OpenRequest request = new OpenRequest(++lastRequestId, call, deadlineMicros);
+        openRequests.put(request.id, request);
         double timeoutMillis = SimulationContext.toMillis(deadlineMicros - nowMicros);
-        balancer.request(
-                SimulationContext.toMillis(nowMicros), new Request(exchange.id, 0, 0, timeoutMillis, repeat, 0));
+        balancer.request(SimulationContext.toMillis(nowMicros), new Request(request.id, 0, 0, timeoutMillis, retry, 0));
     }
 
-    /** An attempt has ended; what comes after its first end is not told. */
+    /** Reports the end of an attempt to the balancer; only the first end of an attempt counts. */
     void attemptEnded(long nowMicros, Attempt attempt, Outcome outcome) {
-        if (!live || attempt.ended) {
+        if (!running || attempt.ended) {
             return;
         }
         attempt.ended = true;
-        Exchange exchange = attempt.exchange;
-        exchange.out--;
+        OpenRequest request = attempt.request;
+        request.attemptsInFlight--;
         context.measurements.attemptEnded(nowMicros, outcome);
         if (outcome == Outcome.OK) {
-            answer(exchange, ApplicationCall.Answer.SERVED);
+            sendAnswer(request, ApplicationCall.Answer.SERVED);
         }
         double elapsedMillis = SimulationContext.toMillis(nowMicros - attempt.sentMicros);
         balancer.attemptEnded(
                 SimulationContext.toMillis(nowMicros),
                 new AttemptEnd(
-                        exchange.id,
+                        request.id,
                         attempt.number,
                         attempt.upstream.machine().number(),
                         outcome,
                         elapsedMillis,
-                        exchange.over,
+                        request.answered,
                         NO_REPORT));
-        if (exchange.over && exchange.out == 0) {
-            exchanges.remove(exchange.id);
+        if (request.answered && request.attemptsInFlight == 0) {
+            openRequests.remove(request.id);
         }
     }
 
-    private void answer(Exchange exchange, ApplicationCall.Answer answer) {
-        if (exchange.over) {
+    private void sendAnswer(OpenRequest request, ApplicationCall.Answer answer) {
+        if (request.answered) {
             return;
         }
-        exchange.over = true;
+        request.answered = true;
         long nowMicros = context.queue.nowMicros();
-        boolean sent = !exchange.attempts.isEmpty();
-        context.measurements.requestAnswered(nowMicros, nowMicros - exchange.deadlineMicros, answer, sent);
-        context.queue.scheduleAfter(context.network.model().localMicros(), now -> exchange.call.answered(now, answer));
-    }
-
-    private void finish(int request, ApplicationCall.Answer answer) {
-        Exchange exchange = exchanges.get(request);
-        if (exchange != null) {
-            answer(exchange, answer);
-            if (exchange.out == 0) {
-                exchanges.remove(request);
+        boolean attempted = !request.attempts.isEmpty();
+        context.measurements.requestAnswered(nowMicros, nowMicros - request.deadlineMicros, answer, attempted);
+        context.queue.scheduleAfter(
+                context.network.model().localMicros(), now -> request.call.answerReceived(now, answer));
+    }
+
+    private void completeRequest(int requestId, ApplicationCall.Answer answer) {
+        OpenRequest request = openRequests.get(requestId);
+        if (request != null) {
+            sendAnswer(request, answer);
+            if (request.attemptsInFlight == 0) {
+                openRequests.remove(requestId);
             }
         }
     }
 
     @Override
-    public void send(int request, int upstream, double timeoutMs) {
-        Exchange exchange = exchanges.get(request);
-        long now = context.queue.nowMicros();
-        long wanted = timeoutMs == 0
-                ? exchange.deadlineMicros
-                : now + Math.round(timeoutMs * SimulationContext.MICROS_PER_MILLI);
-        long deadline = Math.min(wanted, exchange.deadlineMicros);
-        SimulatedUpstream target = context.upstreams.get(upstream);
-        Attempt attempt = new Attempt(this, exchange, exchange.attempts.size(), target, now, deadline);
-        exchange.attempts.add(attempt);
-        exchange.out++;
-        if (exchange.over || attempt.number >= maxAttempts || exchange.deadlineMicros <= now) {
-            context.queue.scheduleAt(now, later -> attemptEnded(later, attempt, Outcome.NOT_SENT));
+    public void send(int requestId, int upstreamId, double timeoutMs) {
+        OpenRequest request = openRequests.get(requestId);
+        long nowMicros = context.queue.nowMicros();
+        long requestedDeadlineMicros = timeoutMs == 0
+                ? request.deadlineMicros
+                : nowMicros + Math.round(timeoutMs * SimulationContext.MICROS_PER_MILLI);
+        long attemptDeadlineMicros = Math.min(requestedDeadlineMicros, request.deadlineMicros);
+        SimulatedUpstream target = context.upstreams.get(upstreamId);
+        Attempt attempt = new Attempt(this, request, request.attempts.size(), target, nowMicros, attemptDeadlineMicros);
+        request.attempts.add(attempt);
+        request.attemptsInFlight++;
+        if (request.answered || attempt.number >= maxAttempts || request.deadlineMicros <= nowMicros) {
+            context.queue.scheduleAt(nowMicros, now -> attemptEnded(now, attempt, Outcome.NOT_SENT));
             return;
         }
-        context.queue.scheduleAt(deadline, attempt);
-        transmit(now, attempt);
+        context.queue.scheduleAt(attemptDeadlineMicros, attempt);
+        transmit(nowMicros, attempt);
     }
 
-    private void transmit(long now, Attempt attempt) {
+    private void transmit(long nowMicros, Attempt attempt) {
         Topology.Machine target = attempt.upstream.machine();
-        context.measurements.attemptSent(now, target, Network.distance(sidecar.machine(), target));
+        context.measurements.attemptSent(nowMicros, target, Network.distance(sidecar.machine(), target));
         if (context.isReachable(sidecar.machine(), target)) {
-            long delay = context.delayMicros(sidecar.machine(), target);
-            context.queue.scheduleAt(now + delay, later -> attempt.upstream.arrive(later, attempt));
+            long delayMicros = context.delayMicros(sidecar.machine(), target);
+            context.queue.scheduleAt(nowMicros + delayMicros, now -> attempt.upstream.receive(now, attempt));
         } else {
-            long timeout = context.network.model().connectTimeoutMillis() * SimulationContext.MICROS_PER_MILLI;
-            context.queue.scheduleAt(now + timeout, later -> attemptEnded(later, attempt, Outcome.CONNECT_FAILED));
+            long timeoutMicros = context.network.model().connectTimeoutMillis() * SimulationContext.MICROS_PER_MILLI;
+            context.queue.scheduleAt(
+                    nowMicros + timeoutMicros, now -> attemptEnded(now, attempt, Outcome.CONNECT_FAILED));
         }
     }
 
-    /** Passes an upstream's answer on, as far as there is a path. */
-    void reply(long nowMicros, Attempt attempt, Outcome outcome) {
-        Topology.Machine from = attempt.upstream.machine();
-        if (live && !attempt.ended && context.isReachable(sidecar.machine(), from)) {
-            long delay = context.delayMicros(sidecar.machine(), from);
-            context.queue.scheduleAt(nowMicros + delay, now -> attemptEnded(now, attempt, outcome));
+    /** Delivers the outcome of an attempt from its upstream after the network delay; lost if the path is cut. */
+    void deliverOutcome(long nowMicros, Attempt attempt, Outcome outcome) {
+        Topology.Machine source = attempt.upstream.machine();
+        if (running && !attempt.ended && context.isReachable(sidecar.machine(), source)) {
+            long delayMicros = context.delayMicros(sidecar.machine(), source);
+            context.queue.scheduleAt(nowMicros + delayMicros, now -> attemptEnded(now, attempt, outcome));
         }
     }
 
     @Override
-    public void refuse(int request, double retryAfterMs) {
-        finish(request, ApplicationCall.Answer.REFUSED);
+    public void refuse(int requestId, double retryAfterMs) {
+        completeRequest(requestId, ApplicationCall.Answer.REFUSED);
     }
 
     @Override
-    public void fail(int request) {
-        finish(request, ApplicationCall.Answer.FAILED);
+    public void fail(int requestId) {
+        completeRequest(requestId, ApplicationCall.Answer.FAILED);
     }
 
     @Override
-    public void cancel(int request, int attempt) {
-        Exchange exchange = exchanges.get(request);
-        if (exchange != null && attempt >= 0 && attempt < exchange.attempts.size()) {
-            Attempt cancelled = exchange.attempts.get(attempt);
+    public void cancel(int requestId, int attemptNumber) {
+        OpenRequest request = openRequests.get(requestId);
+        if (request != null && attemptNumber >= 0 && attemptNumber < request.attempts.size()) {
+            Attempt cancelled = request.attempts.get(attemptNumber);
             context.queue.scheduleAfter(0, now -> attemptEnded(now, cancelled, Outcome.CANCELLED));
         }
     }
 
     @Override
-    public void probe(int upstream) {
-        throw new IllegalStateException("the settings of the model allow no probes");
+    public void probe(int upstreamId) {
+        throw new IllegalStateException("the balancer requested a health probe, but the simulation disables probes");
     }
 
     @Override
     public void timer(double delayMs, int token) {
         context.queue.scheduleAfter((long) Math.ceil(delayMs * SimulationContext.MICROS_PER_MILLI), now -> {
-            if (live) {
+            if (running) {
                 balancer.timer(SimulationContext.toMillis(now), token);
             }
         });
@@ -208,12 +209,13 @@
 
     @Override
     public void fetchList() {
-        throw new IllegalStateException("a subscribed module asks for no single list");
+        throw new IllegalStateException(
+                "the balancer fetched the list, but the simulation provides it by subscription only");
     }
 
     @Override
-    public void closeIdle(int upstream) {
-        // Connections are no part of the model.
+    public void closeIdle(int upstreamId) {
+        // Connections are not simulated.
     }
 
     @Override
