--- a/sidecar/src/test/java/gradehub/ConcurrencyLimitTest.java
+++ b/sidecar/src/test/java/gradehub/ConcurrencyLimitTest.java
@@ -9,7 +9,7 @@
 class ConcurrencyLimitTest {
 
     private static final double WARM = 1;
-    private static final double TYPICAL_MS = 100;
+    private static final double MEDIAN_MS = 100;
 
     private static ConcurrencyLimit limit(double attempts) {
         ConcurrencyLimit limit = new ConcurrencyLimit();
@@ -28,7 +28,7 @@
 
     private static void adjustRepeatedly(ConcurrencyLimit limit, int count, int inFlight, double headroom) {
         for (int i = 0; i < count; i++) {
-            limit.adjust(0, inFlight, headroom, 0.5, TYPICAL_MS);
+            limit.adjust(0, inFlight, headroom, 0.5, MEDIAN_MS);
         }
     }
 
@@ -56,7 +56,7 @@
     }
 
     @Test
-    void fastAnswersOfALittleUsedUpstreamLeaveTheLimit() {
+    void fastAnswersOfALightlyLoadedUpstreamDoNotChangeTheLimit() {
         ConcurrencyLimit limit = limit(8);
         adjustRepeatedly(limit, 100, 2, 10);
         assertEquals(8, admittedAtOnce(limit, 0, WARM));
@@ -76,11 +76,11 @@
     @Test
     void limitBelowOneSetsAMinimumInterval() {
         ConcurrencyLimit limit = limit(1);
-        adjustRepeatedly(limit, 10, 0, -0.9); // down to the minimum of 0.5: attempts are one typical latency apart
+        adjustRepeatedly(limit, 10, 0, -0.9); // down to the minimum of 0.5: attempts are one median latency apart
         assertTrue(limit.atMostOne());
-        assertEquals(0, admittedAtOnce(limit, TYPICAL_MS - 1, WARM));
-        assertEquals(1, admittedAtOnce(limit, TYPICAL_MS, WARM));
+        assertEquals(0, admittedAtOnce(limit, MEDIAN_MS - 1, WARM));
+        assertEquals(1, admittedAtOnce(limit, MEDIAN_MS, WARM));
         adjustRepeatedly(limit, 1, 0, 0.1); // one fast answer ends the interval
-        assertEquals(1, admittedAtOnce(limit, TYPICAL_MS, WARM));
+        assertEquals(1, admittedAtOnce(limit, MEDIAN_MS, WARM));
     }
 }
--- a/sidecar/src/test/java/gradehub/LoadShedderTest.java
+++ b/sidecar/src/test/java/gradehub/LoadShedderTest.java
@@ -41,7 +41,7 @@
     }
 
     @Test
-    void shedsAtTwoAndAHalfTypicalLatenciesLeft() {
+    void shedsAtTwoAndAHalfMedianLatenciesLeft() {
         stats.medianMs = 100;
         Call soon = enqueue(1, 1, 1000);
         Call later = enqueue(2, 1, 1001);
@@ -53,19 +53,19 @@
     }
 
     @Test
-    void shedsLaterWhenTypicalLatencyIsHigh() {
+    void shedsLaterWhenMedianLatencyIsHigh() {
         stats.medianMs = 500; // 2.5 of them exceed the aim of 1,000 ms, so 0.65 of the aim applies
         Call call = enqueue(1, 1, 1000);
         assertEquals(List.of(), shedder.shed(349, CONTROL_MS));
         assertEquals(List.of(call), shedder.shed(350, CONTROL_MS));
-        stats.medianMs = 800; // at least one typical latency
+        stats.medianMs = 800; // the threshold is at least one median latency
         enqueue(2, 1, 1000);
         assertEquals(List.of(), shedder.shed(199, CONTROL_MS));
         assertEquals(1, shedder.shed(200, CONTROL_MS).size());
     }
 
     @Test
-    void shedsAtTheLastControlTickWhenTypicalLatencyIsLow() {
+    void shedsAtTheLastControlTickWhenMedianLatencyIsLow() {
         stats.medianMs = 1;
         enqueue(1, 1, 1000);
         assertEquals(List.of(), shedder.shed(939, CONTROL_MS));
--- a/sidecar/src/test/java/gradehub/OutlierEjectionTest.java
+++ b/sidecar/src/test/java/gradehub/OutlierEjectionTest.java
@@ -13,7 +13,7 @@
 
 class OutlierEjectionTest {
 
-    private static final double TYPICAL_MS = 100;
+    private static final double MEDIAN_MS = 100;
 
     private final List<String> logs = new ArrayList<>();
     private final OutlierEjection ejection = new OutlierEjection(new NoOpActions() {
@@ -28,7 +28,7 @@
 
     private static ClassStats stats() {
         ClassStats stats = new ClassStats(TestSettings.requestClass(Effect.SAFE, Group.ALL, 1), TestSettings.TICK_MS);
-        stats.medianMs = TYPICAL_MS;
+        stats.medianMs = MEDIAN_MS;
         return stats;
     }
 
@@ -116,9 +116,9 @@
     void oneUnansweredAttemptEjectsAfterTheTailLatencyOfItsClass() {
         Attempt oldest = send(1000);
         reads.tailRatio = 8;
-        ejection.checkUnresponsive(1000 + 8 * TYPICAL_MS, upstream, oldest);
+        ejection.checkUnresponsive(1000 + 8 * MEDIAN_MS, upstream, oldest);
         assertEquals(List.of(), logs);
-        ejection.checkUnresponsive(1000 + 8 * TYPICAL_MS + 1, upstream, oldest);
+        ejection.checkUnresponsive(1000 + 8 * MEDIAN_MS + 1, upstream, oldest);
         assertEquals(List.of("upstream 3 is ejected: no answer for 801 ms; sending trial requests"), logs);
     }
 
@@ -128,17 +128,17 @@
         send(1000);
         send(1000);
         send(1000);
-        ejection.checkUnresponsive(1000 + 2 * TYPICAL_MS, upstream, oldest);
+        ejection.checkUnresponsive(1000 + 2 * MEDIAN_MS, upstream, oldest);
         assertFalse(upstream.ejection.ejected);
-        ejection.checkUnresponsive(1000 + 2 * TYPICAL_MS + 1, upstream, oldest);
+        ejection.checkUnresponsive(1000 + 2 * MEDIAN_MS + 1, upstream, oldest);
         assertTrue(upstream.ejection.ejected);
     }
 
     @Test
-    void anAnswerToAnotherAttemptRestartsTheSilence() {
+    void anAnswerToAnotherAttemptRestartsTheAnswerTimeout() {
         Attempt oldest = send(1000);
         ejection.recordAnswer(1500, upstream, 4);
-        ejection.checkUnresponsive(1500 + 8 * TYPICAL_MS, upstream, oldest);
+        ejection.checkUnresponsive(1500 + 8 * MEDIAN_MS, upstream, oldest);
         assertFalse(upstream.ejection.ejected);
     }
 }
