--- a/sidecar/src/test/c/syscall_faults.c
+++ b/sidecar/src/test/c/syscall_faults.c
@@ -1,7 +1,7 @@
 /*
- * Makes system calls of a process fail, for tests. Preloaded into the process, it maps the file that
- * SYSCALL_FAULTS names: one rule for each kind of call, which the test changes while the process runs.
- * Without that variable it does nothing. SyscallFaults.java has the other side of the table.
+ * Injects system call failures into a process under test. The library is loaded by LD_PRELOAD and maps the file
+ * named by SYSCALL_FAULTS, a table with one rule per system call that the test changes while the process runs.
+ * It does nothing if the variable is unset. SyscallFaults.java writes the table.
  */
 #define _GNU_SOURCE
 #include <dlfcn.h>
@@ -18,11 +18,11 @@
 #include <sys/uio.h>
 #include <unistd.h>
 
-/* In the order of SyscallFaults.Call. */
+/* Same order as SyscallFaults.Call. */
 enum call { ACCEPT, SOCKET, CONNECT, BIND, LISTEN, READ, WRITE, EPOLL_WAIT, EPOLL_CTL, SETSOCKOPT, FCNTL, OPEN, CLOSE, LOG, CALLS };
 
-#define SHORT_TRANSFER (-1) /* in place of an error: transfer a few bytes only */
-#define MOST_SHORT_BYTES 7
+#define SHORT_TRANSFER (-1) /* as an error: transfers only a few bytes */
+#define MAX_SHORT_BYTES 7
 
 struct rule {
     volatile int32_t error;
@@ -37,11 +37,11 @@
 };
 
 static struct table *table;
-static const char *config;
+static const char *config_path;
 
-#define REAL(name) ((__typeof__(&name))real(#name))
+#define REAL(name) ((__typeof__(&name))next_symbol(#name))
 
-static void *real(const char *name)
+static void *next_symbol(const char *name)
 {
     return dlsym(RTLD_NEXT, name);
 }
@@ -55,12 +55,12 @@
     }
     void *mapped = mmap(NULL, sizeof(struct table), PROT_READ | PROT_WRITE, MAP_SHARED, fd, 0);
     REAL(close)(fd);
-    config = getenv("BALANCER_CONFIG");
+    config_path = getenv("BALANCER_CONFIG");
     table = mapped == MAP_FAILED ? NULL : mapped;
 }
 
-/* xorshift64*; a race between threads only costs a draw. */
-static uint32_t draw(void)
+/* xorshift64*; a data race between threads at worst repeats or loses a random number. */
+static uint32_t next_random(void)
 {
     uint64_t x = table->seed;
     x ^= x >> 12;
@@ -70,22 +70,23 @@
     return (uint32_t)((x * 2685821657736338717ULL) >> 33);
 }
 
-/* The error that this call is to end with, SHORT_TRANSFER, or 0. */
-static int fault(enum call call)
+/* Returns the errno value to inject into this call, SHORT_TRANSFER, or 0 for none. */
+static int pick_fault(enum call call)
 {
     if (table == NULL || table->rules[call].percent == 0) {
         return 0;
     }
-    if (draw() % 100 >= (uint32_t)table->rules[call].percent) {
+    if (next_random() % 100 >= (uint32_t)table->rules[call].percent) {
         return 0;
     }
     __sync_fetch_and_add(&table->rules[call].injected, 1);
     return table->rules[call].error;
 }
 
+/* Whether this call has to fail; sets errno. */
 static int fails(enum call call)
 {
-    int error = fault(call);
+    int error = pick_fault(call);
     if (error <= 0) {
         return 0;
     }
@@ -99,10 +100,10 @@
     return fstat(fd, &status) == 0 && S_ISSOCK(status.st_mode);
 }
 
-static size_t shortened(size_t length)
+static size_t short_length(size_t length)
 {
-    size_t most = 1 + draw() % MOST_SHORT_BYTES;
-    return length < most ? length : most;
+    size_t max = 1 + next_random() % MAX_SHORT_BYTES;
+    return length < max ? length : max;
 }
 
 int accept(int fd, struct sockaddr *address, socklen_t *length)
@@ -115,10 +116,10 @@
     return fails(SOCKET) ? -1 : REAL(socket)(domain, type, protocol);
 }
 
-/* An interrupted connect goes on in the background, as the system's does. */
+/* As in Linux, an interrupted connect continues in the background. */
 int connect(int fd, const struct sockaddr *address, socklen_t length)
 {
-    int error = fault(CONNECT);
+    int error = pick_fault(CONNECT);
     if (error == EINTR) {
         REAL(connect)(fd, address, length);
     }
@@ -141,39 +142,39 @@
 
 ssize_t read(int fd, void *bytes, size_t length)
 {
-    int error = table != NULL && is_socket(fd) ? fault(READ) : 0;
+    int error = table != NULL && is_socket(fd) ? pick_fault(READ) : 0;
     if (error > 0) {
         errno = error;
         return -1;
     }
-    return REAL(read)(fd, bytes, error == SHORT_TRANSFER ? shortened(length) : length);
+    return REAL(read)(fd, bytes, error == SHORT_TRANSFER ? short_length(length) : length);
 }
 
 ssize_t write(int fd, const void *bytes, size_t length)
 {
-    int error = table == NULL ? 0 : fd == STDERR_FILENO ? fault(LOG) : is_socket(fd) ? fault(WRITE) : 0;
+    int error = table == NULL ? 0 : fd == STDERR_FILENO ? pick_fault(LOG) : is_socket(fd) ? pick_fault(WRITE) : 0;
     if (error > 0) {
         errno = error;
         return -1;
     }
-    return REAL(write)(fd, bytes, error == SHORT_TRANSFER ? shortened(length) : length);
+    return REAL(write)(fd, bytes, error == SHORT_TRANSFER ? short_length(length) : length);
 }
 
 ssize_t writev(int fd, const struct iovec *parts, int count)
 {
-    int error = table != NULL && is_socket(fd) ? fault(WRITE) : 0;
+    int error = table != NULL && is_socket(fd) ? pick_fault(WRITE) : 0;
     if (error > 0) {
         errno = error;
         return -1;
     }
     return error == SHORT_TRANSFER
-        ? REAL(write)(fd, parts[0].iov_base, shortened(parts[0].iov_len))
+        ? REAL(write)(fd, parts[0].iov_base, short_length(parts[0].iov_len))
         : REAL(writev)(fd, parts, count);
 }
 
-int epoll_wait(int fd, struct epoll_event *events, int most, int timeout)
+int epoll_wait(int fd, struct epoll_event *events, int max_events, int timeout)
 {
-    return fails(EPOLL_WAIT) ? -1 : REAL(epoll_wait)(fd, events, most, timeout);
+    return fails(EPOLL_WAIT) ? -1 : REAL(epoll_wait)(fd, events, max_events, timeout);
 }
 
 int epoll_ctl(int fd, int operation, int target, struct epoll_event *event)
@@ -188,38 +189,38 @@
 
 int fcntl(int fd, int command, ...)
 {
-    va_list rest;
-    va_start(rest, command);
-    void *argument = va_arg(rest, void *);
-    va_end(rest);
+    va_list arguments;
+    va_start(arguments, command);
+    void *argument = va_arg(arguments, void *);
+    va_end(arguments);
     if (command == F_SETFL && table != NULL && is_socket(fd) && fails(FCNTL)) {
         return -1;
     }
     return REAL(fcntl)(fd, command, argument);
 }
 
-/* Of the files that are opened, the configuration alone. */
+/* Injects faults only when the configuration file is opened. */
 int open64(const char *path, int flags, ...)
 {
-    va_list rest;
-    va_start(rest, flags);
-    mode_t mode = va_arg(rest, mode_t);
-    va_end(rest);
-    if (config != NULL && strcmp(path, config) == 0 && fails(OPEN)) {
+    va_list arguments;
+    va_start(arguments, flags);
+    mode_t mode = va_arg(arguments, mode_t);
+    va_end(arguments);
+    if (config_path != NULL && strcmp(path, config_path) == 0 && fails(OPEN)) {
         return -1;
     }
     return REAL(open64)(path, flags, mode);
 }
 
-/* An interrupted close has closed all the same. */
+/* As in Linux, a close that fails has closed the descriptor nevertheless. */
 int close(int fd)
 {
-    int fails_after = table != NULL && is_socket(fd) && fails(CLOSE);
+    int must_fail = table != NULL && is_socket(fd) && fails(CLOSE);
     int error = errno;
-    int closed = REAL(close)(fd);
-    if (fails_after) {
+    int result = REAL(close)(fd);
+    if (must_fail) {
         errno = error;
         return -1;
     }
-    return closed;
+    return result;
 }
