--- a/sidecar/src/test/java/gradehub/node/RetryTest.java
+++ b/sidecar/src/test/java/gradehub/node/RetryTest.java
@@ -11,8 +11,8 @@
 /** Tests which requests are retried, depending on the settings of their class. */
 class RetryTest {
 
-    private static final String EFFECT_OF_SAFE = "60000,\"idempotency\":\"retryable\"";
-    private static final String EFFECT_OF_UNSAFE = "60000,\"idempotency\":\"fragile\"";
+    private static final String SAFE_CLASS_SETTINGS = "60000,\"idempotency\":\"retryable\"";
+    private static final String UNSAFE_CLASS_SETTINGS = "60000,\"idempotency\":\"fragile\"";
 
     private SidecarFixture fixture;
     private ServerSocket upstream;
@@ -49,7 +49,7 @@
         assertEquals("done", client.read().body());
     }
 
-    /** The close is unread in the socket when the next request is sent: that request must use a new connection. */
+    /** The upstream's close has not been read when the next request is sent; the request must use a new connection. */
     @Test
     void closedIdleConnectionIsNotReused() throws Throwable {
         fixture.start(list);
@@ -66,7 +66,7 @@
         }
     }
 
-    /** The upstream closes after the last byte was written but without reading it: the request may still have run. */
+    /** The upstream closes after the request was fully written, without answering: it may still have been executed. */
     @Test
     void unsafeRequestIsNotRetriedAfterClose() throws Exception {
         fixture.start(list);
@@ -81,8 +81,8 @@
     }
 
     @Test
-    void classConfiguredUnsafeIsNotRetried() throws Exception {
-        fixture.startWithSetting(list, EFFECT_OF_SAFE, EFFECT_OF_UNSAFE);
+    void requestOfClassConfiguredUnsafeIsNotRetried() throws Exception {
+        fixture.startWithSetting(list, SAFE_CLASS_SETTINGS, UNSAFE_CLASS_SETTINGS);
         try (RawConnection client = fixture.client()) {
             client.send(SidecarFixture.postRequest(SidecarFixture.requestId(1), "x")
                     .replace(SidecarFixture.UNSAFE_CLASS, SidecarFixture.SAFE_CLASS));
@@ -95,8 +95,8 @@
     }
 
     @Test
-    void classConfiguredSafeIsRetried() throws Exception {
-        fixture.startWithSetting(list, EFFECT_OF_UNSAFE, EFFECT_OF_SAFE);
+    void requestOfClassConfiguredSafeIsRetried() throws Exception {
+        fixture.startWithSetting(list, UNSAFE_CLASS_SETTINGS, SAFE_CLASS_SETTINGS);
         try (RawConnection client = fixture.client()) {
             client.send(SidecarFixture.getRequest(SidecarFixture.requestId(1))
                     .replace(SidecarFixture.SAFE_CLASS, SidecarFixture.UNSAFE_CLASS));
@@ -123,7 +123,7 @@
         }
     }
 
-    /** A client may state a longer deadline than its class allows; the deadline in the settings applies. */
+    /** A client may send a longer deadline than its class allows; the deadline in the settings applies. */
     @Test
     void configuredDeadlineEndsRequest() throws Exception {
         fixture.startWithSetting(
@@ -133,8 +133,8 @@
         try (RawConnection client = fixture.client()) {
             client.send(SidecarFixture.postRequest(SidecarFixture.requestId(1), "x"));
             RawConnection up = SidecarFixture.accept(upstream);
-            long stated = Long.parseLong(up.read().header("X-Remaining-Ms"));
-            assertTrue(stated <= 2000, "the upstream is told " + stated);
+            long remainingMs = Long.parseLong(up.read().header("X-Remaining-Ms"));
+            assertTrue(remainingMs <= 2000, "X-Remaining-Ms sent to the upstream is " + remainingMs);
             assertEquals(502, client.read().status());
             assertTrue(up.awaitClose());
         }
--- a/sidecar/src/test/java/gradehub/node/StartTimesTest.java
+++ b/sidecar/src/test/java/gradehub/node/StartTimesTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Slow start must last for its span of real time even if wall clocks are stepped. */
+/** Slow start must last for its configured duration even if wall clocks are stepped. */
 class StartTimesTest {
 
     private static final double NOW_MS = 1e12;
@@ -20,14 +20,14 @@
     @Test
     void newPlausibleStartIsKept() {
         assertEquals(NOW_MS - 300, startedMs("u1", NOW_MS - 300, NOW_MS));
-        assertEquals(0, startedMs("u2", 0, NOW_MS), "long ago");
+        assertEquals(0, startedMs("u2", 0, NOW_MS), "a start of 0 means long ago");
     }
 
     /** Guards against a clock step of an hour that makes a cold upstream look warm. */
     @Test
-    void newStartInThePastIsReplacedByReportTime() {
+    void newStartFarInThePastIsReplacedByReportTime() {
         assertEquals(NOW_MS, startedMs("u1", NOW_MS - HOUR_MS, NOW_MS));
-        assertEquals(NOW_MS, startedMs("u1", NOW_MS - HOUR_MS, NOW_MS + 5000), "reported again");
+        assertEquals(NOW_MS, startedMs("u1", NOW_MS - HOUR_MS, NOW_MS + 5000), "the same start, reported again");
     }
 
     /** Guards against a clock step of an hour that keeps an upstream in slow start for that hour. */
@@ -36,9 +36,9 @@
         assertEquals(NOW_MS, startedMs("u1", NOW_MS + HOUR_MS, NOW_MS));
     }
 
-    /** After an outage and in a process's first list, any start since discovery was last heard is plausible. */
+    /** After an outage and in a process's first list, any start since the last message from discovery is plausible. */
     @Test
-    void startDuringSilenceIsKept() {
+    void startDuringDiscoveryOutageIsKept() {
         assertEquals(NOW_MS - 9000, starts.startedMs("u1", NOW_MS - 9000, NOW_MS, 8000));
         double first = starts.startedMs("u2", NOW_MS - HOUR_MS, NOW_MS, Double.POSITIVE_INFINITY);
         assertEquals(NOW_MS - HOUR_MS, first);
@@ -48,6 +48,6 @@
     void upstreamReturningWithoutRestartIsNotNew() {
         starts.startedMs("u1", NOW_MS - HOUR_MS, NOW_MS, Double.POSITIVE_INFINITY);
         assertEquals(NOW_MS - HOUR_MS, startedMs("u1", NOW_MS - HOUR_MS, NOW_MS + 5000));
-        assertEquals(NOW_MS + 4900, startedMs("u1", NOW_MS + 4900, NOW_MS + 5000), "a restart is new");
+        assertEquals(NOW_MS + 4900, startedMs("u1", NOW_MS + 4900, NOW_MS + 5000), "a restart is a new start");
     }
 }
